--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -74,7 +74,7 @@
     Load pattern: some nodes are cut off from the store, the others are not. A trainer's calls come to the
     same node each time, so that each of its reads is refused there until the platform sends it elsewhere.
     """
-    return node.is_table_fresh() and not node.batches.is_cut_off()
+    return node.is_table_fresh() and not node.batches.is_partitioned()
 
 
 @dataclass(slots=True)
--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -62,7 +62,7 @@
             group.start_soon(self._results.run)
             await self._texts.load()
             group.start_soon(self._texts.checkpoint_forever)
-            group.start_soon(self._texts.forget_forever)
+            group.start_soon(self._texts.expire_batches_forever)
             while not self._is_stopping:
                 self._take_batches()
                 self._carried.drop_old()
--- a/src/worksramp/rollout/batch_service.py
+++ b/src/worksramp/rollout/batch_service.py
@@ -132,7 +132,7 @@
         """
         if header.batch_id in self._ledger.batches:
             return Accepted()
-        if self.is_cut_off():
+        if self.is_partitioned():
             return Refused(CUT_OFF, retry_after_seconds)
         placed = await self._values.put_items(header, items, self._times.answer)
         if isinstance(placed, NotStored):
@@ -150,7 +150,7 @@
             return batch
         if batch.is_ended:
             return Accepted()
-        if self.is_cut_off():
+        if self.is_partitioned():
             return Refused(CUT_OFF, retry_after_seconds)
         return await self._append(record_of_end(batch_id), retry_after_seconds)
 
@@ -161,7 +161,7 @@
         batch = await self._find(batch_id)
         if not isinstance(batch, Batch):
             return batch
-        if self.is_cut_off():
+        if self.is_partitioned():
             return NotSure(CUT_OFF)
         num_items = len(batch.header.item_ids)
         await _catch_up(self._replica)
@@ -185,7 +185,7 @@
             return batch
         if item_id not in batch.header.item_ids:
             return NoSuchBatch()
-        if self.is_cut_off():
+        if self.is_partitioned():
             return NotSure(CUT_OFF)
         index = batch.header.item_ids.index(item_id)
         try:
@@ -194,7 +194,7 @@
         except (ValuesUnavailableError, TimeoutError) as error:
             return NotSure(f"item: {error}")
 
-    def is_cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Return whether calls are refused at once, as the store has not been heard of."""
         return _is_cut_off(self._replica, self._times.cut_off)
 
--- a/src/worksramp/rollout/batch_values.py
+++ b/src/worksramp/rollout/batch_values.py
@@ -98,7 +98,7 @@
         ]
 
 
-def records_forgetting_values(batch: Batch) -> list[KeyedRecord]:
+def value_tombstones(batch: Batch) -> list[KeyedRecord]:
     """Return the records that drop the items and texts of a batch."""
     batch_id = batch.header.batch_id
     keys = [item_key(batch_id, index) for index in range(len(batch.header.item_ids))]
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -8,7 +8,7 @@
 from worksramp.coordination.shared_log import KeyedRecord
 from worksramp.coordination.value_store import NotStored, ValuesUnavailableError
 from worksramp.mechanisms import mechanism
-from worksramp.rollout.batch_values import records_forgetting_values
+from worksramp.rollout.batch_values import value_tombstones
 from worksramp.rollout.batches import Batch, GeneratedText, records_forgetting_batch
 from worksramp.rollout.item_work import ItemWork
 from worksramp.rollout.open_items import OpenItems
@@ -119,7 +119,7 @@
             logger.warning("texts_not_kept", num_texts=len(records), reason=outcome.reason)
             self._unwritten = values | self._unwritten
 
-    async def forget_forever(self) -> None:
+    async def expire_batches_forever(self) -> None:
         """Drop old batches now and then, until cancelled."""
         while True:
             await anyio.sleep(FORGET_PAUSE_SECONDS)
@@ -132,7 +132,7 @@
         """Drop a batch that nobody may ask for any more: its values first, while they can be found."""
         batch_id = batch.header.batch_id
         outcome = await self._context.values.store.put(
-            batch_id, records_forgetting_values(batch), WRITE_TIMEOUT_SECONDS
+            batch_id, value_tombstones(batch), WRITE_TIMEOUT_SECONDS
         )
         if isinstance(outcome, NotStored):
             return
--- a/tests/unit/test_outages.py
+++ b/tests/unit/test_outages.py
@@ -125,7 +125,7 @@
             group.start_soon(world.cut_node, slot, 6.0)
             assert slot.node is not None
             refused_at = ready_until = anyio.current_time()
-            while not slot.node.batches.is_cut_off():
+            while not slot.node.batches.is_partitioned():
                 await anyio.sleep(0.02)
                 refused_at = anyio.current_time()
             while slot.node.is_ready:
--- a/tests/unit/test_value_store.py
+++ b/tests/unit/test_value_store.py
@@ -15,7 +15,7 @@
     ValuesUnavailableError,
     calls_of,
 )
-from worksramp.rollout.batch_values import BatchValues, records_forgetting_values, records_of_text
+from worksramp.rollout.batch_values import BatchValues, value_tombstones, records_of_text
 from worksramp.rollout.batches import Batch, BatchHeader, BatchItem, ResultRecord
 from worksramp_emulator.shared_log import LogClient, LogStore
 from worksramp_emulator.simulation.clock import run_simulated
@@ -115,7 +115,7 @@
         await values.put("b", records_of_text("b", 0, 2, "late", 64), 1.0)
         store.forget_records(values.partition_of("b"))
         assert (await BatchValues(values).results(batch, [0]))[0].text == text
-        keys = {record.key for record in records_forgetting_values(batch)}
+        keys = {record.key for record in value_tombstones(batch)}
         assert {record.key for record in written} <= keys
 
     play(work)
