--- a/tests/unit/test_value_store.py
+++ b/tests/unit/test_value_store.py
@@ -15,7 +15,7 @@
     ValuesUnavailableError,
     calls_of,
 )
-from worksramp.rollout.batch_values import BatchValues, value_tombstones, records_of_text
+from worksramp.rollout.batch_values import BatchValues, records_of_text, value_tombstones
 from worksramp.rollout.batches import Batch, BatchHeader, BatchItem, ResultRecord
 from worksramp_emulator.shared_log import LogClient, LogStore
 from worksramp_emulator.simulation.clock import run_simulated
