--- a/src/worksramp/rollout/batch_reader.py
+++ b/src/worksramp/rollout/batch_reader.py
@@ -38,7 +38,7 @@
         ledger = self._ledger
         positions: dict[str, list[int]] = {}
         for item_id in item_ids:
-            place = ledger.completed_place(item_id)
+            place = ledger.find_completed(item_id)
             if place is not None:
                 positions.setdefault(place[0], []).append(place[1])
         texts: dict[str, GeneratedText] = {}
--- a/src/worksramp/rollout/batches.py
+++ b/src/worksramp/rollout/batches.py
@@ -1,8 +1,8 @@
-"""Submitted batches as folded from their partition.
+"""Records of submitted batches, and the state of all batches that is folded from their log partition.
 
 Keys (docs/design/prepared-machines.md): ``b/BATCH`` header, ``e/BATCH`` end, ``r/BATCH/P`` result.
-The newest value of each key is the whole state: no record depends on one that the store has dropped. Items
-and texts stand apart (`worksramp.rollout.batch_values`), since every node follows this partition.
+The newest values of all keys are the complete state, so the store may compact the partition. Items and texts
+are stored in other partitions (`worksramp.rollout.batch_values`), because every node reads this one.
 """
 
 from dataclasses import dataclass, field
@@ -15,17 +15,17 @@
 
 
 class BatchHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What a batch is, without its items.
+    """Description of a batch without its items.
 
     Attributes:
-        step: the trainer's step, None where the batch is no step.
-        min_version: oldest weights that may make its text.
-        num_wanted_groups: groups that the trainer waits for.
-        submitted_at: time of day in seconds when it was first sent.
-        item_ids: in the order given.
-        groups: group of each item, empty text for none.
-        item_offsets: where each item's record was written among the values.
-        item_sizes_b: size of each item's record.
+        submitted_at: wall-clock time of the first submission, in seconds.
+        item_ids: ids of the items, in submission order.
+        groups: group of each item, an empty string for an item without a group.
+        step: training step, None if the batch does not belong to one.
+        min_version: oldest weight version that may generate the texts.
+        num_wanted_groups: number of complete groups that the trainer waits for.
+        item_offsets: log offset of each item's record in the value partition.
+        item_sizes_b: size of each item's record in bytes.
     """
 
     batch_id: str
@@ -43,12 +43,12 @@
 
 
 class ScoringCall(msgspec.Struct, frozen=True, array_like=True):
-    """Request that has an item's whole text scored.
+    """Request that asks a scorer to score an item's complete text.
 
     Attributes:
-        call_id: id that the scorer's answer must name.
-        host: host whose route it takes.
-        target: path and query as sent to a worker.
+        call_id: id of the call; a score counts only if it carries the same id.
+        host: host name by which the route is chosen.
+        target: path and query string sent to the scorer.
     """
 
     call_id: str
@@ -58,11 +58,11 @@
 
 
 class Score(msgspec.Struct, frozen=True, array_like=True):
-    """A good answer to a scoring call.
+    """Successful response to a scoring call.
 
     Attributes:
-        call_id: the call that it answers.
-        signature: the scorer's, as the trainer reads it.
+        call_id: id of the scoring call.
+        signature: signature of the scorer, passed to the trainer unchanged.
     """
 
     call_id: str
@@ -73,11 +73,12 @@
     """One request of a batch.
 
     Attributes:
-        target: path and query as sent to a worker.
-        headers: name and value, forwarded as they are.
-        num_tokens: prompt and the most that may be generated.
-        num_expected_tokens: the submitter's estimate of those generated, 0 when there is none.
-        scoring_call: what must be answered before the item is listed as completed, None for nothing.
+        target: path and query string sent to a worker.
+        headers: names and values, forwarded unchanged.
+        num_tokens: prompt tokens plus the maximum number of generated tokens.
+        num_expected_tokens: submitter's estimate of the generated tokens, 0 if there is none.
+        scoring_call: call that must succeed before the item is listed as completed, None if the item is not
+            scored.
     """
 
     item_id: str
@@ -90,17 +91,17 @@
 
 
 class GeneratedText(msgspec.Struct, frozen=True, array_like=True):
-    """Text of an item so far.
+    """Text generated for an item so far.
 
     Attributes:
         pieces: data of each event, in order.
-        last_event_id: id of the last whole event, None when there is none.
-        versions: weights that made at least one event, in order of appearance.
-        num_failures: runs that the workers ended with an error of their own, in ``batch_id``.
-        is_whole: nothing follows.
-        batch_id: batch that the failures were counted in.
-        score: answer to a scoring call that was sent after the text was whole.
-        num_scoring_failures: errors of their own that scorers answered with, in ``batch_id``.
+        last_event_id: id of the last complete event, None if there is none.
+        versions: weight versions that generated at least one event, in order of first use.
+        num_failures: runs in batch ``batch_id`` that workers ended with an error response of their own.
+        is_whole: whether the text is complete.
+        batch_id: batch in which the failures were counted.
+        score: response to a scoring call that was sent after the text was complete.
+        num_scoring_failures: error responses of scorers in batch ``batch_id``.
     """
 
     pieces: tuple[str, ...] = ()
@@ -114,14 +115,14 @@
 
 
 class ResultRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One listed item, without its text.
+    """One listed item without its text.
 
     Attributes:
-        is_completed: the whole text is there; otherwise the item was given up.
-        epoch: of the owner that wrote the text.
-        text_offsets: where the parts of the text were written among the values.
-        text_sizes_b: size of each part.
-        score: of a completed item that has a scoring call.
+        is_completed: True if the text is complete, False if the item was given up.
+        epoch: epoch of the owner that wrote the text.
+        text_offsets: log offset of each part of the text in the value partition.
+        text_sizes_b: size of each part in bytes.
+        score: score of a completed item that has a scoring call, otherwise None.
     """
 
     item_id: str
@@ -134,13 +135,13 @@
 
     @property
     def text_size_b(self) -> int:
-        """Bytes of the whole text."""
+        """Size of the complete text in bytes."""
         return sum(self.text_sizes_b)
 
 
 @dataclass(frozen=True, slots=True)
 class BatchResult:
-    """One listed item as it is read."""
+    """One listed item with its text."""
 
     item_id: str
     is_completed: bool
@@ -151,11 +152,12 @@
 
 @dataclass(slots=True)
 class Batch:
-    """One batch as known so far.
+    """State of one batch.
 
     Attributes:
-        listed: ids of items that have a result.
-        results: by position.
+        is_ended: whether the caller has ended the batch.
+        listed: ids of the items that have a result.
+        results: results by position.
     """
 
     header: BatchHeader
@@ -165,16 +167,24 @@
 
     @property
     def num_results(self) -> int:
-        """Number of positions without a gap from 0."""
+        """Number of results; the owner assigns positions from 0 without gaps."""
         return len(self.results)
 
     @property
     def is_open(self) -> bool:
-        """Whether items are still to be run."""
+        """Whether the batch is not ended and has items without a result."""
         return not self.is_ended and len(self.listed) < len(self.header.item_ids)
 
     def positions_from(self, start: int, max_b: int) -> list[int]:
-        """Return positions from one on whose texts fit, at least one if there is one."""
+        """Return consecutive positions whose texts fit into one page.
+
+        Args:
+            start: first position.
+            max_b: maximum size of the texts in bytes; the first text is included even if it is larger.
+
+        Returns:
+            Positions in order, empty if ``start`` has no result yet.
+        """
         chosen: list[int] = []
         size_b = 0
         position = start
@@ -188,7 +198,12 @@
 
 
 class BatchLedger:
-    """All batches of a partition, folded change by change."""
+    """State of all batches of a partition, updated change by change.
+
+    Attributes:
+        batches: batches by id.
+        revision: number of changes applied.
+    """
 
     def __init__(self) -> None:
         self.batches: dict[str, Batch] = {}
@@ -198,25 +213,25 @@
         self.revision = 0
 
     def apply(self, change: Change) -> None:
-        """Take in one change; keys of other kinds are passed over."""
+        """Apply one change; keys of other kinds are ignored."""
         kind, _, rest = change.key.partition("/")
         self.revision += 1
-        batch_id, _, place = rest.partition("/")
+        batch_id, _, suffix = rest.partition("/")
         if kind == "b":
             self._apply_header(batch_id, change.value)
         elif kind == "e":
             self._apply_end(batch_id, change.value)
         elif kind == "r":
-            self._apply_result(batch_id, int(place), change.value)
+            self._apply_result(batch_id, int(suffix), change.value)
 
-    def completed_place(self, item_id: str) -> tuple[str, int] | None:
-        """Return batch and position of an item that some batch lists as completed."""
+    def find_completed(self, item_id: str) -> tuple[str, int] | None:
+        """Return the batch id and position under which an item is listed as completed, or None."""
         place = self._completed.get(item_id)
         return None if place is None or place[0] not in self.batches else place
 
     def _apply_header(self, batch_id: str, value: bytes | None) -> None:
         if value is None:
-            self._forget(batch_id)
+            self._delete_batch(batch_id)
             return
         if batch_id in self.batches:
             return
@@ -225,7 +240,7 @@
         for position, early in self._early_results.pop(batch_id, {}).items():
             self._apply_result(batch_id, position, early)
 
-    def _forget(self, batch_id: str) -> None:
+    def _delete_batch(self, batch_id: str) -> None:
         batch = self.batches.pop(batch_id, None)
         for item_id in () if batch is None else batch.header.item_ids:
             if self._completed.get(item_id, ("", 0))[0] == batch_id:
@@ -244,7 +259,7 @@
             return
         batch = self.batches.get(batch_id)
         if batch is None:
-            # Pages of newest records come in the order of keys, not of appends.
+            # Pages of newest records are sorted by key, so a result can come before its header.
             self._early_results.setdefault(batch_id, {})[position] = value
             return
         result = decode(value, ResultRecord)
@@ -255,12 +270,15 @@
 
 
 def record_of_header(header: BatchHeader) -> KeyedRecord:
-    """Return the record by which a batch exists; all its items are written before it."""
+    """Return the record that creates a batch; all items must be stored before it is appended."""
     return KeyedRecord(f"b/{header.batch_id}", encode(header))
 
 
-def records_forgetting_batch(batch: Batch) -> list[KeyedRecord]:
-    """Return the records that drop a batch, its header first: no reader finds it without its results."""
+def batch_tombstones(batch: Batch) -> list[KeyedRecord]:
+    """Return the records that delete a batch.
+
+    The header is deleted first, so that no reader finds a batch whose results are missing.
+    """
     batch_id = batch.header.batch_id
     keys = [f"b/{batch_id}"]
     keys += [f"r/{batch_id}/{position}" for position in batch.results]
@@ -274,5 +292,5 @@
 
 
 def record_of_result(batch_id: str, position: int, result: ResultRecord) -> KeyedRecord:
-    """Return the record that lists an item; its text is written before it."""
+    """Return the record that lists an item; the text must be stored before it is appended."""
     return KeyedRecord(f"r/{batch_id}/{position}", encode(result))
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -9,7 +9,7 @@
 from worksramp.coordination.value_store import NotStored, ValuesUnavailableError
 from worksramp.mechanisms import mechanism
 from worksramp.rollout.batch_values import value_tombstones
-from worksramp.rollout.batches import Batch, GeneratedText, records_forgetting_batch
+from worksramp.rollout.batches import Batch, GeneratedText, batch_tombstones
 from worksramp.rollout.item_work import ItemWork
 from worksramp.rollout.open_items import OpenItems
 from worksramp.rollout.owner_context import OwnerContext
@@ -140,5 +140,5 @@
         for item_id in batch.header.item_ids:
             if item_id not in open_items:
                 self.forget(item_id)
-        self._context.writer.put(*records_forgetting_batch(batch))
+        self._context.writer.put(*batch_tombstones(batch))
         logger.info("batch_forgotten", batch_id=batch_id)
