--- a/src/worksramp/rollout/batch_service.py
+++ b/src/worksramp/rollout/batch_service.py
@@ -1,4 +1,7 @@
-"""What any node does for callers of batches: accept, read, hand out bodies, end."""
+"""Batch calls that every node serves: submit a batch, read results and items, end a batch.
+
+Batches are written to and read from the log, so a call does not need to reach the owner of the shard.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -22,24 +25,24 @@
 )
 
 MAX_PAGE_BYTES = 900_000
-CUT_OFF = "store_not_heard"
-#: One read of the store in calm, with room for a slow one.
-CATCH_UP_S = 0.05
+REASON_PARTITIONED = "store_not_heard"
+#: Long enough for one read of the store, with a margin for a slow one.
+CATCH_UP_TIMEOUT_S = 0.05
 
 logger = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The batch, or its end, is in the log."""
+    """The batch, or its end record, is in the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing was done, nor will be.
+    """The call had no effect and will have none.
 
     Attributes:
-        retry_after_seconds: when to come back.
+        retry_after_seconds: delay after which the caller should retry.
     """
 
     reason: str
@@ -48,26 +51,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """It may be done, or may yet be; the same call may be sent again."""
+    """The call may have taken effect or may still do so; the same call can be retried safely."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoSuchBatch:
-    """The log holds no such batch, or no such item."""
+    """The log contains no such batch, or the batch contains no such item."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotSure:
-    """This node cannot show that what it knows is current."""
+    """This node cannot give a reliable answer: its copy may be stale or the store is unavailable."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results from a position on."""
+    """Consecutive results of a batch.
+
+    Attributes:
+        num_items: number of items in the batch.
+        start: position of the first result.
+    """
 
     num_items: int
     start: int
@@ -76,12 +84,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTimes:
-    """Seconds that bound the calls.
+    """Time limits of the calls, in seconds.
 
     Attributes:
-        answer: longest time in which the log must answer.
-        freshness: how recently a copy must have been confirmed before it says that something is not there.
-        cut_off: a node that has not heard of the store for this long refuses at once.
+        answer: timeout of one operation on the log.
+        freshness: maximum age of the replica's last confirmation at which it may report that a result is
+            missing.
+        cut_off: age of the replica's last confirmation above which the node counts as partitioned and
+            refuses calls immediately.
     """
 
     answer: float
@@ -89,24 +99,32 @@
     cut_off: float
 
 
-async def _stay_behind(replica: KeyedReplica) -> None:
-    """Read from the copy as it is."""
+async def _skip_catch_up(replica: KeyedReplica) -> None:
+    """Read from the replica without catching up."""
 
 
 @mechanism("refusals_when_cut_off", without=lambda replica, limit_s: False)
-def _is_cut_off(replica: KeyedReplica, limit_s: float) -> bool:
-    """Refuse at once while the store has not been heard of: another node may reach it."""
+def _is_partitioned(replica: KeyedReplica, limit_s: float) -> bool:
+    """Refuse calls immediately while the store is unavailable: another node may still reach it."""
     return replica.is_loaded and replica.confirmed_age() > limit_s
 
 
-@mechanism("reads_catch_up", without=_stay_behind)
+@mechanism("reads_catch_up", without=_skip_catch_up)
 async def _catch_up(replica: KeyedReplica) -> None:
-    """Have readers of results see what was listed during a pause of the copy."""
-    await replica.catch_up(CATCH_UP_S)
+    """Read results that were listed while the replica paused between polls."""
+    await replica.catch_up(CATCH_UP_TIMEOUT_S)
 
 
 class BatchService:
-    """Calls about the batches of one shard, on any node."""
+    """Serves the batch calls of one shard on any node.
+
+    Args:
+        values: items and texts of batches.
+        partition: partition that holds headers, ends and results.
+        ledger: state folded from the partition.
+        replica: copy of the partition that updates the ledger.
+        times: time limits of the calls.
+    """
 
     def __init__(
         self,
@@ -125,24 +143,31 @@
     async def submit(
         self, header: BatchHeader, items: Iterable[BatchItem], retry_after_seconds: float
     ) -> Accepted | Refused | Undecided:
-        """Accept a batch; taken once however often and wherever it is sent.
+        """Store a batch; submitting the same batch again, on any node, has no further effect.
 
-        Needs no copy of the log: the same records again change nothing. The items are written first; without
-        its header the batch does not exist.
+        The call does not need an up-to-date replica, because appending the same records twice changes
+        nothing. The items are stored before the header, since the batch exists as soon as its header does.
+
+        Args:
+            retry_after_seconds: delay returned with a `Refused` outcome.
         """
         if header.batch_id in self._ledger.batches:
             return Accepted()
         if self.is_partitioned():
-            return Refused(CUT_OFF, retry_after_seconds)
-        placed = await self._values.put_items(header, items, self._times.answer)
-        if isinstance(placed, NotStored):
-            return Refused(placed.reason, retry_after_seconds)
-        return await self._append(record_of_header(placed), retry_after_seconds)
+            return Refused(REASON_PARTITIONED, retry_after_seconds)
+        stored = await self._values.put_items(header, items, self._times.answer)
+        if isinstance(stored, NotStored):
+            return Refused(stored.reason, retry_after_seconds)
+        return await self._append(record_of_header(stored), retry_after_seconds)
 
     async def end(
         self, batch_id: str, retry_after_seconds: float
     ) -> Accepted | Refused | Undecided | NoSuchBatch:
-        """End a batch."""
+        """End a batch; ending it again has no further effect.
+
+        Args:
+            retry_after_seconds: delay returned with a `Refused` outcome.
+        """
         batch = await self._find(batch_id)
         if isinstance(batch, NotSure):
             return Refused(batch.reason, retry_after_seconds)
@@ -151,18 +176,22 @@
         if batch.is_ended:
             return Accepted()
         if self.is_partitioned():
-            return Refused(CUT_OFF, retry_after_seconds)
+            return Refused(REASON_PARTITIONED, retry_after_seconds)
         return await self._append(record_of_end(batch_id), retry_after_seconds)
 
     async def read(
         self, batch_id: str, start: int, wait_seconds: float
     ) -> ResultPage | NoSuchBatch | NotSure:
-        """Return results from a position on, waiting for the first if there is none yet."""
+        """Return results from position ``start`` on, waiting for the first one if necessary.
+
+        Args:
+            wait_seconds: maximum wait for the first result; the page is empty if none arrives in time.
+        """
         batch = await self._find(batch_id)
         if not isinstance(batch, Batch):
             return batch
         if self.is_partitioned():
-            return NotSure(CUT_OFF)
+            return NotSure(REASON_PARTITIONED)
         num_items = len(batch.header.item_ids)
         await _catch_up(self._replica)
         if start not in batch.results and start < num_items:
@@ -179,14 +208,14 @@
         return ResultPage(num_items, start, tuple(results))
 
     async def item(self, batch_id: str, item_id: str) -> BatchItem | NoSuchBatch | NotSure:
-        """Return an item of a batch."""
+        """Return an item of a batch as it was submitted."""
         batch = await self._find(batch_id)
         if not isinstance(batch, Batch):
             return batch
         if item_id not in batch.header.item_ids:
             return NoSuchBatch()
         if self.is_partitioned():
-            return NotSure(CUT_OFF)
+            return NotSure(REASON_PARTITIONED)
         index = batch.header.item_ids.index(item_id)
         try:
             with anyio.fail_after(self._times.answer):
@@ -195,8 +224,8 @@
             return NotSure(f"item: {error}")
 
     def is_partitioned(self) -> bool:
-        """Return whether calls are refused at once, as the store has not been heard of."""
-        return _is_cut_off(self._replica, self._times.cut_off)
+        """Return whether calls are refused immediately because the store is unavailable to this node."""
+        return _is_partitioned(self._replica, self._times.cut_off)
 
     async def _find(self, batch_id: str) -> Batch | NoSuchBatch | NotSure:
         batch = self._ledger.batches.get(batch_id)
@@ -220,7 +249,7 @@
     async def _append(
         self, record: KeyedRecord, retry_after_seconds: float
     ) -> Accepted | Refused | Undecided:
-        """Append until the outcome is known or the time is over."""
+        """Append a record, retrying until the outcome is known or the timeout expires."""
         outcome = await append_until_known(
             self._values.store.log, self._partition, (record,), self._times.answer
         )
