--- a/src/worksramp/rollout/batch_values.py
+++ b/src/worksramp/rollout/batch_values.py
@@ -1,7 +1,8 @@
-"""Items and texts of batches, which stand apart from the partition that every node follows.
+"""Items and texts of batches, stored outside the partition that every node reads.
 
-Keys among the values of a batch: ``i/BATCH/N`` item, ``t/BATCH/P/EPOCH/K`` part of a text. The epoch keeps a
-former owner, whose late append the store does not refuse here, from changing what a result refers to.
+Keys: ``i/BATCH/N`` item, ``t/BATCH/P/EPOCH/K`` part of a text. Appends to these partitions are not fenced, so
+a former owner may still append late. With the epoch in the key it cannot overwrite a text that a result of
+the current owner refers to.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,29 +16,36 @@
 
 
 def item_key(batch_id: str, index: int) -> str:
-    """Return the key of an item; keys sort as items do."""
+    """Return the key of an item; keys sort in the order of the indices."""
     return f"i/{batch_id}/{index:06}"
 
 
 def text_key(batch_id: str, position: int, epoch: int, part: int) -> str:
-    """Return the key of a part of a text; keys sort as positions do."""
+    """Return the key of a part of a text; keys sort in the order of the positions."""
     return f"t/{batch_id}/{position:06}/{epoch}/{part:04}"
 
 
 def records_of_text(
     batch_id: str, position: int, epoch: int, text: str, max_record_b: int
 ) -> list[KeyedRecord]:
-    """Return the records of a text; none for an empty one."""
+    """Return the records that store a text, split into parts.
+
+    Args:
+        max_record_b: maximum size of a record in bytes; each part uses at most half of it.
+
+    Returns:
+        One record for each part, none for an empty text.
+    """
     data = text.encode()
-    room_b = max_record_b // 2
+    part_size_b = max_record_b // 2
     return [
-        KeyedRecord(text_key(batch_id, position, epoch, part), data[start : start + room_b])
-        for part, start in enumerate(range(0, len(data), room_b))
+        KeyedRecord(text_key(batch_id, position, epoch, part), data[start : start + part_size_b])
+        for part, start in enumerate(range(0, len(data), part_size_b))
     ]
 
 
 class BatchValues:
-    """Reads and writes items and texts."""
+    """Reads and writes items and texts of batches in a value store."""
 
     def __init__(self, values: ValueStore) -> None:
         self.store = values
@@ -45,7 +53,11 @@
     async def put_items(
         self, header: BatchHeader, items: Iterable[BatchItem], timeout_s: float
     ) -> BatchHeader | NotStored:
-        """Write the items of a batch and return its header with their places."""
+        """Store the items of a batch.
+
+        Returns:
+            The header with the offsets and sizes of the items, or `NotStored`.
+        """
         records = [
             KeyedRecord(item_key(header.batch_id, index), encode(item)) for index, item in enumerate(items)
         ]
@@ -59,10 +71,10 @@
         )
 
     async def items(self, header: BatchHeader, indices: Sequence[int]) -> dict[int, BatchItem]:
-        """Read items of a batch.
+        """Read items of a batch by index.
 
         Raises:
-            ValuesUnavailableError: not all could be read now.
+            ValuesUnavailableError: some items could not be read.
         """
         keys = {index: item_key(header.batch_id, index) for index in indices}
         places = [
@@ -76,7 +88,7 @@
         """Read results of a batch with their texts, in the order of ``positions``.
 
         Raises:
-            ValuesUnavailableError: not all texts could be read now.
+            ValuesUnavailableError: some texts could not be read.
         """
         batch_id = batch.header.batch_id
         records = {position: batch.results[position] for position in positions}
@@ -99,7 +111,7 @@
 
 
 def value_tombstones(batch: Batch) -> list[KeyedRecord]:
-    """Return the records that drop the items and texts of a batch."""
+    """Return the records that delete the items and texts of a batch."""
     batch_id = batch.header.batch_id
     keys = [item_key(batch_id, index) for index in range(len(batch.header.item_ids))]
     for position, record in batch.results.items():
