--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -85,7 +85,7 @@
         self._is_stopping = True
         for work in self.items.works.values():
             work.stop()
-        self._texts.checkpoint(min_new_pieces=1)
+        self._texts.checkpoint(min_new_events=1)
         self.wake()
 
     async def flush(self) -> None:
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -67,7 +67,7 @@
 
     def leave(self, work: ItemWork) -> None:
         """Keep the text of an item whose batch has ended: the item may come back."""
-        self.checkpoint_item(work, min_new_pieces=1)
+        self.checkpoint_item(work, min_new_events=1)
         self._left[work.item.item_id] = work.text.freeze(work.key[0])
         while len(self._left) > MAX_LEFT_TEXTS:
             self._left.popitem(last=False)
@@ -87,19 +87,19 @@
             self.checkpoint(MIN_CHECKPOINT_PIECES)
             await self.flush()
 
-    def checkpoint(self, min_new_pieces: int) -> None:
+    def checkpoint(self, min_new_events: int) -> None:
         """Have all texts written that have grown by so many pieces."""
         for work in self._items.works.values():
-            self.checkpoint_item(work, min_new_pieces)
+            self.checkpoint_item(work, min_new_events)
 
     def checkpoint_soon(self, work: ItemWork) -> None:
         """Have a text written with the next ones, however little it has grown."""
         work.num_checkpointed = -1
 
-    def checkpoint_item(self, work: ItemWork, min_new_pieces: int) -> None:
+    def checkpoint_item(self, work: ItemWork, min_new_events: int) -> None:
         """Have one text written if it has grown by so many pieces, or if a failure was counted."""
         num_pieces = len(work.text.pieces)
-        if num_pieces - work.num_checkpointed < min_new_pieces and work.num_checkpointed >= 0:
+        if num_pieces - work.num_checkpointed < min_new_events and work.num_checkpointed >= 0:
             return
         value = encode(work.text.freeze(work.key[0]))
         if len(value) > self._context.max_record_bytes // 2:
