--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -1,4 +1,8 @@
-"""Keeps the texts of open items in the store, and drops what nobody may ask for any more."""
+"""Checkpoints the texts of open items in the store, and deletes expired batches and texts.
+
+A checkpoint lets the next owner of the shard, or a later batch with the same item, resume a text instead of
+generating it again.
+"""
 
 from collections import OrderedDict
 
@@ -16,120 +20,126 @@
 from worksramp.wire import decode, encode
 
 CHECKPOINT_SECONDS = 0.4
-MIN_CHECKPOINT_PIECES = 4
+MIN_CHECKPOINT_EVENTS = 4
 WRITE_TIMEOUT_SECONDS = 2.0
-LOAD_AGAIN_SECONDS = 0.1
-FORGET_PAUSE_SECONDS = 5.0
-#: Batches are kept for this multiple of the promised time, since the clocks of machines differ.
-FORGET_FACTOR = 1.5
-MAX_LEFT_TEXTS = 512
-#: All texts so far stand in one partition of their own: a new owner reads them at once.
-GROUP = "progress"
-PREFIX = "p/"
+LOAD_RETRY_SECONDS = 0.1
+EXPIRY_PERIOD_SECONDS = 5.0
+#: Batches are kept for this multiple of the promised time, because the clocks of machines differ.
+EXPIRY_FACTOR = 1.5
+MAX_TEXTS_OF_ENDED_BATCHES = 512
+#: All checkpoints are in one group, and so in one partition, which a new owner reads as a whole.
+PROGRESS_GROUP = "progress"
+KEY_PREFIX = "p/"
 
 logger = structlog.get_logger()
 
 
 class TextKeeper:
-    """Texts of an owner's items beyond their runs, their batches and their owner."""
+    """Keeps the texts of an owner's items across runs, batches and owners."""
 
     def __init__(self, context: OwnerContext, items: OpenItems) -> None:
         self._context = context
         self._items = items
-        #: Of items of ended batches, which may come back.
-        self._left: OrderedDict[str, GeneratedText] = OrderedDict()
-        #: As a former owner left them.
-        self._loaded: dict[str, bytes] = {}
-        #: Items that have a text in the store, as far as is known.
+        #: Texts of items whose batch has ended; a later batch may contain the item again.
+        self._of_ended_batches: OrderedDict[str, GeneratedText] = OrderedDict()
+        #: Encoded texts that former owners stored, by item id.
+        self._from_former_owners: dict[str, bytes] = {}
+        #: Ids of items that may have a text in the store.
         self._stored: set[str] = set()
-        #: Newest values that are to be written, by key; an empty one drops its key.
+        #: Values to write, by key; an empty value deletes its key.
         self._unwritten: dict[str, bytes] = {}
 
     async def load(self) -> None:
-        """Read the texts that former owners left; return once that has succeeded."""
+        """Read the texts that former owners stored, retrying until the read succeeds."""
         while True:
             try:
-                values = await self._context.progress.newest_of(GROUP)
+                values = await self._context.progress.newest_of(PROGRESS_GROUP)
                 break
             except ValuesUnavailableError as error:
                 logger.warning("texts_not_read", reason=str(error))
-            await anyio.sleep(LOAD_AGAIN_SECONDS)
-        self._loaded = {key.removeprefix(PREFIX): value for key, value in values.items()}
-        self._stored = set(self._loaded)
+            await anyio.sleep(LOAD_RETRY_SECONDS)
+        self._from_former_owners = {key.removeprefix(KEY_PREFIX): value for key, value in values.items()}
+        self._stored = set(self._from_former_owners)
 
     @mechanism("kept_texts", without=lambda keeper, item_id: None)
     def kept(self, item_id: str) -> GeneratedText | None:
-        """Return the text so far of an item, from an earlier run, owner or batch."""
-        left = self._left.get(item_id)
-        if left is not None or item_id not in self._loaded:
-            return left
-        return decode(self._loaded[item_id], GeneratedText)
+        """Return the text of an item from an earlier batch or a former owner, None if there is none."""
+        text = self._of_ended_batches.get(item_id)
+        if text is not None or item_id not in self._from_former_owners:
+            return text
+        return decode(self._from_former_owners[item_id], GeneratedText)
 
     def leave(self, work: ItemWork) -> None:
-        """Keep the text of an item whose batch has ended: the item may come back."""
+        """Keep the text of an item whose batch has ended; a later batch may contain the item again."""
         self.checkpoint_item(work, min_new_events=1)
-        self._left[work.item.item_id] = work.text.freeze(work.key[0])
-        while len(self._left) > MAX_LEFT_TEXTS:
-            self._left.popitem(last=False)
+        self._of_ended_batches[work.item.item_id] = work.text.freeze(work.key[0])
+        while len(self._of_ended_batches) > MAX_TEXTS_OF_ENDED_BATCHES:
+            self._of_ended_batches.popitem(last=False)
 
     def forget(self, item_id: str) -> None:
-        """Drop the text so far of an item that is listed, or that nobody may bring back."""
-        self._left.pop(item_id, None)
-        self._loaded.pop(item_id, None)
+        """Discard the text of an item that is listed, or whose batch has expired."""
+        self._of_ended_batches.pop(item_id, None)
+        self._from_former_owners.pop(item_id, None)
         if item_id in self._stored:
             self._stored.discard(item_id)
-            self._unwritten[PREFIX + item_id] = b""
+            self._unwritten[KEY_PREFIX + item_id] = b""
 
     async def checkpoint_forever(self) -> None:
-        """Write texts that have grown now and then, until cancelled."""
+        """Write texts with enough new events every `CHECKPOINT_SECONDS`, until cancelled."""
         while True:
             await anyio.sleep(CHECKPOINT_SECONDS)
-            self.checkpoint(MIN_CHECKPOINT_PIECES)
+            self.checkpoint(MIN_CHECKPOINT_EVENTS)
             await self.flush()
 
     def checkpoint(self, min_new_events: int) -> None:
-        """Have all texts written that have grown by so many pieces."""
+        """Mark for writing all texts that have enough new events since their last checkpoint."""
         for work in self._items.works.values():
             self.checkpoint_item(work, min_new_events)
 
     def checkpoint_soon(self, work: ItemWork) -> None:
-        """Have a text written with the next ones, however little it has grown."""
+        """Include a text in the next checkpoint, even if it has no new events."""
         work.num_checkpointed = -1
 
     def checkpoint_item(self, work: ItemWork, min_new_events: int) -> None:
-        """Have one text written if it has grown by so many pieces, or if a failure was counted."""
-        num_pieces = len(work.text.pieces)
-        if num_pieces - work.num_checkpointed < min_new_events and work.num_checkpointed >= 0:
+        """Mark one text for writing if it has enough new events, or if a failure was counted.
+
+        A text larger than half of the record limit is skipped.
+        """
+        num_events = len(work.text.pieces)
+        if num_events - work.num_checkpointed < min_new_events and work.num_checkpointed >= 0:
             return
         value = encode(work.text.freeze(work.key[0]))
         if len(value) > self._context.max_record_bytes // 2:
             return
-        work.num_checkpointed = num_pieces
+        work.num_checkpointed = num_events
         self._stored.add(work.item.item_id)
-        self._unwritten[PREFIX + work.item.item_id] = value
+        self._unwritten[KEY_PREFIX + work.item.item_id] = value
 
     async def flush(self) -> None:
-        """Write what is to be written; what could not be written stays so."""
+        """Write the marked texts; those that could not be written remain marked for the next call."""
         if not self._unwritten:
             return
         values, self._unwritten = self._unwritten, {}
         records = [KeyedRecord(key, value) for key, value in values.items()]
-        outcome = await self._context.progress.put(GROUP, records, WRITE_TIMEOUT_SECONDS)
+        outcome = await self._context.progress.put(PROGRESS_GROUP, records, WRITE_TIMEOUT_SECONDS)
         if isinstance(outcome, NotStored):
             logger.warning("texts_not_kept", num_texts=len(records), reason=outcome.reason)
             self._unwritten = values | self._unwritten
 
     async def expire_batches_forever(self) -> None:
-        """Drop old batches now and then, until cancelled."""
+        """Delete expired batches every `EXPIRY_PERIOD_SECONDS`, until cancelled."""
         while True:
-            await anyio.sleep(FORGET_PAUSE_SECONDS)
-            oldest = self._context.time_of_day() - FORGET_FACTOR * self._context.status_seconds
+            await anyio.sleep(EXPIRY_PERIOD_SECONDS)
+            oldest = self._context.time_of_day() - EXPIRY_FACTOR * self._context.status_seconds
             for batch in list(self._context.ledger.batches.values()):
                 if not batch.is_open and batch.header.submitted_at < oldest:
-                    await self._forget_batch(batch)
+                    await self._expire_batch(batch)
+
+    async def _expire_batch(self, batch: Batch) -> None:
+        """Delete a batch whose results have expired.
 
-    async def _forget_batch(self, batch: Batch) -> None:
-        """Drop a batch that nobody may ask for any more: its values first, while they can be found."""
+        Its items and texts are deleted first, because the header and the results are needed to find them.
+        """
         batch_id = batch.header.batch_id
         outcome = await self._context.values.store.put(
             batch_id, value_tombstones(batch), WRITE_TIMEOUT_SECONDS
