--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -64,9 +64,9 @@
     @mechanism("kept_texts", without=lambda keeper, item_id: None)
     def kept(self, item_id: str) -> GeneratedText | None:
         """Return the text of an item from an earlier batch or a former owner, None if there is none."""
-        text = self._of_ended_batches.get(item_id)
-        if text is not None or item_id not in self._from_former_owners:
-            return text
+        ended_text = self._of_ended_batches.get(item_id)
+        if ended_text is not None or item_id not in self._from_former_owners:
+            return ended_text
         return decode(self._from_former_owners[item_id], GeneratedText)
 
     def leave(self, work: ItemWork) -> None:
