--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -1,4 +1,7 @@
-"""Has the whole texts of an owner's items scored: one good answer for each, then the item is listed."""
+"""Sends scoring calls for items whose text is complete, and lists each item once a call has succeeded.
+
+A call that fails is repeated, and a call that is late may be sent to a second scorer as well.
+"""
 
 import random
 from collections.abc import Callable
@@ -24,42 +27,45 @@
     call_scorer,
     fingerprint_of_call,
 )
-from worksramp.rollout.scoring_schedule import ScorerPlace, UnscoredItem, assign_calls
+from worksramp.rollout.scoring_schedule import ScorerView, UnscoredItem, assign_calls
 from worksramp.rollout.scoring_times import ScoringTimes
 from worksramp.routing.failure_tracker import FailureTracker
 from worksramp.routing.table import Route, RouteKind
 from worksramp.routing.workers import WorkerState
 
-TOLD_LOAD_VALID_S = 0.5
+REPORTED_LOAD_VALID_S = 0.5
 AVOID_AFTER_REFUSAL_S = 0.05
 AVOID_AFTER_BREAK_S = 0.6
-#: What can never be answered well is asked again as rarely as this: a configuration may change the scorer.
+#: Delay before a call that a scorer rejected as impossible is retried: a configuration may change the scorer.
 IMPOSSIBLE_PAUSE_S = 2.0
-#: A call that crashes scorers is asked about again as rarely as this.
+#: Delay before the quarantine is asked again about a call that crashes scorers.
 CRASHING_PAUSE_S = 2.0
-#: After an error or a lost answer, before the next call of the same item.
+#: Delay between an error or a lost response and the next call of the same item.
 FAILURE_PAUSE_S = 0.05
-#: Calls of one item under way at a time: the first, and one for it when it is late.
+#: Concurrent calls of one item: the first, and a second one if the first is late.
 MAX_CALLS_AT_ONCE = 2
 LATENCY_SMOOTHING = 0.2
 
 logger = structlog.get_logger()
 
-_take = OutcomeHandlers["ItemScorer", ScoringOutcome]()
+_handlers = OutcomeHandlers["ItemScorer", ScoringOutcome]()
 
 
 @mechanism("second_scoring_calls", without=lambda calls: not calls)
-def _may_call_beside(calls: list[ScorerCall]) -> bool:
-    """Ask a second scorer while the first is late."""
+def _may_add_call(calls: list[ScorerCall]) -> bool:
+    """Send a second scoring call while the first is late."""
     return len(calls) < MAX_CALLS_AT_ONCE and all(call.is_late for call in calls)
 
 
 class ItemScorer:
-    """Sends scoring calls for an owner.
+    """Sends the scoring calls of an owner's items.
 
     Args:
-        failures: what is known of workers that fail part of what they get.
-        wake: has the owner look again at once.
+        context: shared parts of the owner.
+        items: open items of the owner's batches.
+        failures: recent failures of each worker.
+        lister: lists items that are scored or given up.
+        wake: makes the owner run its loop again immediately.
     """
 
     def __init__(
@@ -76,32 +82,32 @@
         self._lister = lister
         self._wake = wake
         self._times = ScoringTimes()
-        self._source = random.Random()
+        self._random = random.Random()
 
     def look(self, group: anyio.abc.TaskGroup) -> None:
-        """Send what may be sent now, and close calls whose workers hang."""
+        """Start the scoring calls that can be sent now, and cancel calls whose worker hangs."""
         unscored = self._items.unscored()
         if not unscored:
             return
         now = anyio.current_time()
         waiting: list[UnscoredItem] = []
-        num_left = self._items.num_left_by_group()
+        num_unlisted = self._items.num_left_by_group()
         for work in unscored:
             route = self._route(work)
             if route is None:
                 continue
-            self._note_late_calls(work, route, now)
+            self._check_late_calls(work, route, now)
             if self._may_call(work, now):
                 waiting.append(
-                    self._unscored_item(work, route, num_left[work.key[0], self._items.group(work)], now)
+                    self._unscored_item(work, route, num_unlisted[work.key[0], self._items.group(work)], now)
                 )
-        for assignment in assign_calls(waiting, self._places(now) if waiting else []):
+        for assignment in assign_calls(waiting, self._scorer_views(now) if waiting else []):
             self._start(group, self._items.works[assignment.key], assignment.worker_id, now)
 
-    # Views.
+    # Input of the scheduling decision.
 
     def _route(self, work: ItemWork) -> Route | None:
-        """Return the route of an item's scoring call; while there is none, the item waits for one."""
+        """Return the route of an item's scoring call, or None; without a route the item waits for one."""
         table = self._context.table.current
         call = work.item.scoring_call
         if table is None or call is None:
@@ -110,13 +116,13 @@
         return None if route is None or route.kind is RouteKind.BATCH else route
 
     def _may_call(self, work: ItemWork, now: float) -> bool:
-        return work.scoring.wait_until <= now and _may_call_beside(work.scoring.calls)
+        return work.scoring.wait_until <= now and _may_add_call(work.scoring.calls)
 
-    def _note_late_calls(self, work: ItemWork, route: Route, now: float) -> None:
+    def _check_late_calls(self, work: ItemWork, route: Route, now: float) -> None:
         for call in work.scoring.calls:
-            silent_s = now - call.started_at
-            call.is_late = silent_s > self._times.late_after_s(route.objective_seconds)
-            if silent_s > self._times.hanging_after_s(route.objective_seconds):
+            elapsed_s = now - call.started_at
+            call.is_late = elapsed_s > self._times.late_after_s(route.objective_seconds)
+            if elapsed_s > self._times.hanging_after_s(route.objective_seconds):
                 call.scope.cancel()
 
     def _unscored_item(self, work: ItemWork, route: Route, num_group_left: int, now: float) -> UnscoredItem:
@@ -125,7 +131,7 @@
             scoring.whole_at = now
         return UnscoredItem(
             key=work.key,
-            service=route.choose_service(self._source),
+            service=route.choose_service(self._random),
             batch_age_s=self._context.time_of_day() - work.submitted_at,
             num_group_left=num_group_left,
             waiting_s=now - scoring.whole_at,
@@ -133,7 +139,7 @@
             last_resorts=scoring.last_resorts_now(now),
         )
 
-    def _places(self, now: float) -> list[ScorerPlace]:
+    def _scorer_views(self, now: float) -> list[ScorerView]:
         table = self._context.table.current
         if table is None:
             return []
@@ -143,21 +149,21 @@
                 num_calls[call.worker_id] = num_calls.get(call.worker_id, 0) + 1
         suspects = self._failures.suspects(now)
         return [
-            ScorerPlace(
+            ScorerView(
                 worker_id=state.entry.worker_id,
                 service=service,
                 num_slots=state.entry.num_slots,
                 num_calls=num_calls.get(state.entry.worker_id, 0),
-                num_told_waiting=state.told_waiting if now - state.told_at < TOLD_LOAD_VALID_S else 0,
+                num_reported_waiting=state.told_waiting if now - state.told_at < REPORTED_LOAD_VALID_S else 0,
                 latency_s=state.latency_seconds,
-                is_suspect=state.entry.worker_id in suspects,
+                is_failing=state.entry.worker_id in suspects,
             )
             for service in table.services
             for state in self._context.directory.usable(service)
             if state.avoid_until <= now
         ]
 
-    # Calls.
+    # Scoring calls and their outcomes.
 
     def _start(self, group: anyio.abc.TaskGroup, work: ItemWork, worker_id: str, now: float) -> None:
         state = self._context.directory.get(worker_id)
@@ -199,10 +205,10 @@
             work.scoring.calls.remove(call)
         self._context.on_scoring_ended(type(outcome).__name__)
         if work.needs_score:
-            self._take_outcome(work, call, outcome)
+            self._handle_outcome(work, call, outcome)
         self._wake()
 
-    def _take_outcome(self, work: ItemWork, call: ScorerCall, outcome: ScoringOutcome) -> None:
+    def _handle_outcome(self, work: ItemWork, call: ScorerCall, outcome: ScoringOutcome) -> None:
         now = anyio.current_time()
         log = logger.debug if isinstance(outcome, ScoringNotRun) else logger.info
         log(
@@ -217,10 +223,10 @@
             seconds=round(now - call.started_at, 3),
             whole_seconds=round(now - (work.scoring.whole_at or now), 3),
         )
-        _take.handle(self, outcome, work, call, now)
+        _handlers.handle(self, outcome, work, call, now)
 
-    @_take.handler(Scored)
-    def _take_scored(self, outcome: Scored, work: ItemWork, call: ScorerCall, now: float) -> None:
+    @_handlers.handler(Scored)
+    def _handle_scored(self, outcome: Scored, work: ItemWork, call: ScorerCall, now: float) -> None:
         seconds = now - call.started_at
         self._times.observe(seconds)
         self._failures.observe(call.worker_id, is_failure=False, now=now)
@@ -235,8 +241,8 @@
         work.scoring.cancel()
         self._lister.complete(work)
 
-    @_take.handler(ScoringNotRun)
-    def _take_not_run(self, outcome: ScoringNotRun, work: ItemWork, call: ScorerCall, now: float) -> None:
+    @_handlers.handler(ScoringNotRun)
+    def _handle_not_run(self, outcome: ScoringNotRun, work: ItemWork, call: ScorerCall, now: float) -> None:
         if outcome.is_gone:
             self._context.directory.mark_leaving(call.worker_id)
             return
@@ -250,14 +256,14 @@
         else:
             state.avoid_until = now + AVOID_AFTER_REFUSAL_S
 
-    @_take.handler(ScoringLost)
-    def _take_lost(self, outcome: ScoringLost, work: ItemWork, call: ScorerCall, now: float) -> None:
+    @_handlers.handler(ScoringLost)
+    def _handle_lost(self, outcome: ScoringLost, work: ItemWork, call: ScorerCall, now: float) -> None:
         self._failures.observe(call.worker_id, is_failure=True, now=now)
         work.scoring.last_resorts[call.worker_id] = now + AVOID_AFTER_BREAK_S
         work.scoring.wait_until = now + FAILURE_PAUSE_S
 
-    @_take.handler(ScoringFailed)
-    def _take_failed(self, outcome: ScoringFailed, work: ItemWork, call: ScorerCall, now: float) -> None:
+    @_handlers.handler(ScoringFailed)
+    def _handle_failed(self, outcome: ScoringFailed, work: ItemWork, call: ScorerCall, now: float) -> None:
         self._failures.observe(call.worker_id, is_failure=True, now=now)
         work.text.num_scoring_failures += 1
         work.num_checkpointed = -1
@@ -268,8 +274,8 @@
         if route is not None and work.has_scoring_failed_for_good(route.max_attempts):
             self._lister.give_up(work, "scoring_failed")
 
-    @_take.handler(ScoringImpossible)
-    def _take_impossible(
+    @_handlers.handler(ScoringImpossible)
+    def _handle_impossible(
         self, outcome: ScoringImpossible, work: ItemWork, call: ScorerCall, now: float
     ) -> None:
         work.scoring.wait_until = now + IMPOSSIBLE_PAUSE_S
--- a/src/worksramp/rollout/scoring_schedule.py
+++ b/src/worksramp/rollout/scoring_schedule.py
@@ -1,8 +1,8 @@
-"""Which scoring calls are sent now, and where to: a pure decision from one view.
+"""Decides which scoring calls are sent now and to which workers, as a pure function of its arguments.
 
-Scorers serve live requests too. Their time is left to those: calls keep to a share of a worker's slots, and
-to one call at a time where requests already wait. One call at each worker is always allowed, so that scoring
-never starves.
+Scorers also serve live requests, which have precedence: scoring calls use only a share of a worker's slots,
+and one slot where requests already wait. One call for each worker is always allowed, so that scoring cannot
+starve.
 """
 
 from dataclasses import dataclass, replace
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UnscoredItem:
-    """An item whose text is whole and waits for its score.
+    """Item whose text is complete and not scored yet.
 
     Attributes:
-        key: batch and index, handed back in the assignment.
-        service: that answers the call.
-        batch_age_s: since the batch was first sent.
-        num_group_left: items of its group that are not listed yet.
-        waiting_s: since its text was whole.
-        avoided: workers it must not go to now.
-        last_resorts: workers it goes to after all others.
+        key: batch id and index, copied into the assignment.
+        service: service that runs the call.
+        batch_age_s: seconds since the batch was first submitted.
+        num_group_left: number of items of its group that are not listed yet.
+        waiting_s: seconds since its text was complete.
+        avoided: workers that must not get the call now.
+        last_resorts: workers that get the call only if no other worker has a free slot.
     """
 
     key: tuple[str, int]
@@ -37,49 +37,57 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ScorerPlace:
-    """A worker that answers scoring calls.
+class ScorerView:
+    """Last known state of a worker that runs scoring calls.
 
     Attributes:
-        num_calls: scoring calls that the owner has out there.
-        num_told_waiting: requests that waited there as it said last.
-        latency_s: moving mean of its answers, None before the first.
-        is_suspect: fails part of what it is given; used after all others.
+        num_calls: scoring calls of this owner that the worker runs now.
+        num_reported_waiting: waiting requests in the worker's last load report.
+        latency_s: moving mean of its response times in seconds, None before the first response.
+        is_failing: whether it has recently failed part of its requests; such a worker is chosen after all
+            others.
     """
 
     worker_id: str
     service: str
     num_slots: int
     num_calls: int = 0
-    num_told_waiting: int = 0
+    num_reported_waiting: int = 0
     latency_s: float | None = None
-    is_suspect: bool = False
+    is_failing: bool = False
 
     @property
     def num_free(self) -> int:
-        """Scoring calls that may still go there."""
-        allowed = 1 if self.num_told_waiting else max(1, int(SCORING_SHARE * self.num_slots))
+        """Number of further scoring calls that the worker may get; negative if it has too many."""
+        allowed = 1 if self.num_reported_waiting else max(1, int(SCORING_SHARE * self.num_slots))
         return allowed - self.num_calls
 
 
 @dataclass(frozen=True, slots=True)
 class ScoringAssignment:
-    """Send this item's call there."""
+    """Assignment of an item's scoring call to a worker."""
 
     key: tuple[str, int]
     worker_id: str
 
 
-def assign_calls(items: list[UnscoredItem], places: list[ScorerPlace]) -> list[ScoringAssignment]:
-    """Give items to workers with room, items of old batches and of nearly whole groups first."""
-    by_id = {place.worker_id: place for place in places}
+def assign_calls(items: list[UnscoredItem], scorers: list[ScorerView]) -> list[ScoringAssignment]:
+    """Assign items to workers with free slots.
+
+    Items of old batches come first, then items of groups with few unlisted items, then the longest waiting.
+    Each item gets the least loaded worker of its service, failing workers last.
+
+    Returns:
+        Assignments in order of priority; items that find no free slot have none.
+    """
+    by_id = {scorer.worker_id: scorer for scorer in scorers}
     assignments: list[ScoringAssignment] = []
     for item in sorted(items, key=_rank):
-        place = _choose_place(item, by_id)
-        if place is None:
+        scorer = _choose_scorer(item, by_id)
+        if scorer is None:
             continue
-        by_id[place.worker_id] = replace(place, num_calls=place.num_calls + 1)
-        assignments.append(ScoringAssignment(item.key, place.worker_id))
+        by_id[scorer.worker_id] = replace(scorer, num_calls=scorer.num_calls + 1)
+        assignments.append(ScoringAssignment(item.key, scorer.worker_id))
     return assignments
 
 
@@ -89,25 +97,25 @@
 
 @mechanism("scoring_by_group", without=lambda item: 0)
 def _group_rank(item: UnscoredItem) -> int:
-    """Score items of nearly whole groups first."""
+    """Score items of nearly complete groups first."""
     return item.num_group_left
 
 
-def _choose_place(item: UnscoredItem, places: dict[str, ScorerPlace]) -> ScorerPlace | None:
+def _choose_scorer(item: UnscoredItem, scorers: dict[str, ScorerView]) -> ScorerView | None:
     candidates = [
-        place
-        for place in places.values()
-        if place.service == item.service and place.num_free > 0 and place.worker_id not in item.avoided
+        scorer
+        for scorer in scorers.values()
+        if scorer.service == item.service and scorer.num_free > 0 and scorer.worker_id not in item.avoided
     ]
     if not candidates:
         return None
     return min(
         candidates,
-        key=lambda place: (
-            place.worker_id in item.last_resorts,
-            place.is_suspect,
-            (place.num_calls + place.num_told_waiting) / max(1, place.num_slots),
-            place.latency_s or 0.0,
-            place.worker_id,
+        key=lambda scorer: (
+            scorer.worker_id in item.last_resorts,
+            scorer.is_failing,
+            (scorer.num_calls + scorer.num_reported_waiting) / max(1, scorer.num_slots),
+            scorer.latency_s or 0.0,
+            scorer.worker_id,
         ),
     )
