--- a/src/worksramp/rollout/scoring_call.py
+++ b/src/worksramp/rollout/scoring_call.py
@@ -1,4 +1,4 @@
-"""One scoring call at one worker, and what came of it."""
+"""Sends one scoring call to a worker and classifies the outcome."""
 
 from dataclasses import dataclass
 
@@ -16,23 +16,23 @@
 
 METHOD = "POST"
 STATUS_FAILED = 500
-STATUS_NEVER = 422
+STATUS_IMPOSSIBLE = 422
 
 
 @dataclass(frozen=True, slots=True)
 class Scored:
-    """A good answer, with its whole body."""
+    """The worker returned a successful response with a complete body."""
 
     score: Score
 
 
 @dataclass(frozen=True, slots=True)
 class ScoringNotRun:
-    """The worker has not run the call.
+    """The worker did not run the call.
 
     Attributes:
-        is_gone: the worker takes no more work, or is another one by now.
-        is_unreachable: no connection came up.
+        is_gone: whether the worker accepts no more requests, or another worker has its address now.
+        is_unreachable: whether no connection could be established.
     """
 
     reason: str
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoringLost:
-    """The call may have run; its answer did not come whole.
+    """The call may have run, but no complete and valid response was received.
 
     Attributes:
-        is_connection_lost: the connection broke, as it does when the worker crashes.
+        is_connection_lost: whether the connection was lost, as happens when the worker crashes.
     """
 
     reason: str
@@ -54,12 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoringFailed:
-    """The worker ran the call and ended it with an error of its own; counts towards giving the item up."""
+    """The worker ran the call and returned its own error; after several such errors the item is given up."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScoringImpossible:
-    """The worker says that the call can never be answered well."""
+    """The worker reported that the call can never succeed."""
 
     status: int
 
@@ -69,7 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoringAnswer:
-    """Outcome of one call, and the load that the answer told."""
+    """Outcome of one call.
+
+    Attributes:
+        load: load reported with the response, None if there was none.
+    """
 
     outcome: ScoringOutcome
     load: ToldLoad | None = None
@@ -78,17 +82,18 @@
 async def call_scorer(
     port: WorkerPort, worker: WorkerEntry, call: ScoringCall, deadline_s: float
 ) -> ScoringAnswer:
-    """Send a scoring call to a worker and read the whole answer.
+    """Send a scoring call to a worker and read the complete response.
 
-    Cancelling closes the connection, upon which the worker drops the call.
+    Cancellation closes the connection, and the worker then aborts the call. Connection errors are returned as
+    outcomes, not raised.
 
     Args:
-        deadline_s: what the worker is told to keep to.
+        deadline_s: deadline in seconds that is sent to the worker.
     """
     try:
         async with port.send(worker, _request(call, deadline_s)) as answer:
             if answer.status // 100 == 2:
-                # Half an answer is none: its signature counts once its end has come.
+                # The signature counts only once the body is complete.
                 async for _ in answer.body:
                     pass
             return ScoringAnswer(_outcome(answer, call), answer.load)
@@ -99,7 +104,7 @@
 
 
 def fingerprint_of_call(call: ScoringCall) -> str:
-    """Return what is the same for all sends of a scoring call."""
+    """Return the fingerprint of a scoring call, which is the same each time the call is sent."""
     return fingerprint_of(METHOD, call.host.encode("latin-1"), call.target.encode("latin-1"), call.body)
 
 
@@ -125,6 +130,6 @@
         return Scored(Score(call.call_id, answer.signature))
     if answer.status == STATUS_FAILED:
         return ScoringFailed()
-    if answer.status == STATUS_NEVER:
+    if answer.status == STATUS_IMPOSSIBLE:
         return ScoringImpossible(answer.status)
     return ScoringLost(f"status_{answer.status}")
