--- a/src/worksramp/rollout/scoring_times.py
+++ b/src/worksramp/rollout/scoring_times.py
@@ -1,39 +1,44 @@
-"""How long scoring calls take, and what follows for how long one is waited for."""
+"""Measures the duration of scoring calls and derives the times after which a call is late or hangs."""
 
 from collections import deque
 
-#: Answers that the typical time is taken from.
-NUM_REMEMBERED = 64
-#: A call that has taken this multiple of what nearly all take is late.
+#: Number of recent successful calls that are measured.
+WINDOW_SIZE = 64
+#: A call is late after this multiple of the `LATE_QUANTILE` of recent durations.
 LATE_FACTOR = 2.0
-#: Share of the answers that "nearly all" means.
-NEARLY_ALL = 0.9
-#: A call that has taken this multiple of the late time is given up: its worker hangs.
+#: Quantile of the recent durations: nearly all calls take at most this long.
+LATE_QUANTILE = 0.9
+#: A call is cancelled after this multiple of the late time, because its worker hangs.
 HANGING_FACTOR = 6.0
 
 
 class ScoringTimes:
-    """Times of the last good answers."""
+    """Durations of the last successful scoring calls."""
 
     def __init__(self) -> None:
-        self._times_s: deque[float] = deque(maxlen=NUM_REMEMBERED)
+        self._times_s: deque[float] = deque(maxlen=WINDOW_SIZE)
 
     def observe(self, seconds: float) -> None:
-        """Take in the time of a good answer."""
+        """Record the duration of a successful call."""
         self._times_s.append(seconds)
 
     def late_after_s(self, objective_s: float) -> float:
-        """Return after how long a second worker is asked.
+        """Return the seconds after which a call is late and a second worker may be called.
 
         Args:
-            objective_s: time in which the route's answers are worth most; holds until answers are known.
+            objective_s: latency objective of the route in seconds, which is the upper bound. It is returned
+                until a duration has been recorded.
         """
         if not self._times_s:
             return objective_s
         ordered = sorted(self._times_s)
-        nearly_all_s = ordered[int(NEARLY_ALL * (len(ordered) - 1))]
-        return min(objective_s, LATE_FACTOR * nearly_all_s)
+        quantile_s = ordered[int(LATE_QUANTILE * (len(ordered) - 1))]
+        return min(objective_s, LATE_FACTOR * quantile_s)
 
     def hanging_after_s(self, objective_s: float) -> float:
-        """Return after how long a call is closed."""
+        """Return the seconds after which a call is cancelled.
+
+        Args:
+            objective_s: latency objective of the route in seconds.
+        """
         return HANGING_FACTOR * max(objective_s, self.late_after_s(objective_s))
