--- a/src/worksramp/rollout/job_service.py
+++ b/src/worksramp/rollout/job_service.py
@@ -155,11 +155,11 @@
         if not self._replica.is_owner or not self._replica.is_log_reachable:
             return
         state = self._replica.state
-        num_room = self._throttle.limit - len(self._in_flight)
-        if num_room <= 0:
+        max_new = self._throttle.limit - len(self._in_flight)
+        if max_new <= 0:
             return
         chosen = plan_sampling(
-            state, self.spec, self.preference, self._in_flight, self.trainer_version, num_room
+            state, self.spec, self.preference, self._in_flight, self.trainer_version, max_new
         )
         for index in chosen:
             self._in_flight.add(index)
