--- a/src/worksramp/rollout/bodies.py
+++ b/src/worksramp/rollout/bodies.py
@@ -53,9 +53,9 @@
         if sample is not None:
             self._num_tokens -= len(sample.tokens)
 
-    def drop_taken(self, state: JobState) -> None:
+    def drop_acknowledged(self, state: JobState) -> None:
         """Forget the texts of samples that the trainer has."""
-        for index in [index for index in self._cached if state.is_taken(index)]:
+        for index in [index for index in self._cached if state.is_acknowledged(index)]:
             self.drop(index)
 
     async def fetch(self, state: JobState, indices: Iterable[int]) -> list[SampleFinished]:
--- a/src/worksramp/rollout/job.py
+++ b/src/worksramp/rollout/job.py
@@ -1,8 +1,9 @@
-"""State of a rollout job, folded from its stream: finished samples, and batches by cursor.
+"""State of a rollout job, folded from its log stream: finished samples and the last committed batch.
 
-A batch is delivered only after its commit has been read back. Asking for batch k + 1 says that batch k
-is safely in. Batch k may be planned anew as a further attempt while it has not been taken, because a
-sample in it has become too old; the trainer then never took the first attempt.
+A batch is delivered only after its commit has been read back from the log. When the trainer asks for batch
+k + 1 it acknowledges batch k. Until then batch k may be planned again, as another attempt under the same
+cursor, if one of its samples has become too old. In that case the trainer has not accepted the earlier
+attempt.
 
 See Also:
     docs/design/delivery.md
@@ -12,7 +13,7 @@
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens ``start`` up to ``end`` were produced by this weight version, as the engine reported."""
+    """Tokens from ``start`` to before ``end``, with the weight version that the engine reported for them."""
 
     weight_version: int
     start: int
@@ -20,11 +21,11 @@
 
 
 class SampleFinished(msgspec.Struct, frozen=True, tag="sample_finished"):
-    """A sample is whole and scored.
+    """Log entry: a sample is generated and scored.
 
     Attributes:
-        index: place in the job's endless plan of samples; delivered exactly once.
-        attempt: 1 at first; more when an earlier one became too old before delivery.
+        index: number of the sample in the job's unbounded sequence; each index is delivered exactly once.
+        attempt: 1 for the first attempt, more if earlier attempts became too old before delivery.
     """
 
     index: int
@@ -36,11 +37,13 @@
 
 
 class BatchCommitted(msgspec.Struct, frozen=True, tag="batch_committed"):
-    """Batch ``cursor`` consists of these samples; the batch before it is taken in.
+    """Log entry: batch ``cursor`` consists of these samples, and the batch before it is acknowledged.
 
     Attributes:
-        trainer_version: weights of the trainer that asked.
-        max_staleness: bound in force when the batch was planned.
+        attempt: 1 for the first plan of this cursor, more for later ones.
+        trainer_version: weight version of the trainer that requested the batch.
+        max_staleness: staleness bound when the batch was planned.
+        indices: indices of the samples.
     """
 
     cursor: int
@@ -55,7 +58,7 @@
 
 
 class FinishedSample(msgspec.Struct, frozen=True, array_like=True):
-    """What the fold keeps of a finished sample; its text stays in the log at ``offset``."""
+    """State of a finished sample without its text, which is in the log at ``offset``."""
 
     attempt: int
     offset: int
@@ -65,7 +68,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """The batch committed last; it is not known yet whether the trainer took it in."""
+    """The last committed batch; the trainer has not acknowledged it yet."""
 
     cursor: int
     attempt: int
@@ -74,13 +77,13 @@
 
 
 class JobState(msgspec.Struct):
-    """Fold of a job's stream.
+    """State folded from a job's log stream.
 
     Attributes:
-        finished: samples that are whole and not known to be taken in, by index.
-        batch: the batch committed last.
-        floor: every sample below it is taken in.
-        taken_above: samples taken in at or above the floor.
+        finished: finished samples that are not acknowledged, by index.
+        batch: last committed batch, None before the first.
+        floor: all samples with a lower index are acknowledged.
+        taken_above: acknowledged samples with index ``floor`` or higher.
     """
 
     finished: dict[int, FinishedSample] = {}
@@ -89,7 +92,7 @@
     taken_above: set[int] = set()
 
     def begin_epoch(self, epoch: int) -> None:
-        """Nothing is open between owners: samples in flight simply are not finished."""
+        """See `StreamState.begin_epoch`; samples in flight have no state here, so nothing changes."""
 
     def apply_entry(self, offset: int, epoch: int, entry: bytes) -> str | None:
         """See `StreamState.apply_entry`."""
@@ -103,24 +106,24 @@
             case BatchCommitted():
                 return self._apply_batch(decoded)
 
-    def is_taken(self, index: int) -> bool:
-        """Return whether the trainer has this sample safely."""
+    def is_acknowledged(self, index: int) -> bool:
+        """Return whether the trainer has acknowledged the batch that contains this sample."""
         return index < self.floor or index in self.taken_above
 
     def is_in_batch(self, index: int) -> bool:
-        """Return whether the sample belongs to the batch committed last."""
+        """Return whether the sample belongs to the last committed batch."""
         return self.batch is not None and index in self.batch.indices
 
     def _apply_sample(self, offset: int, sample: SampleFinished) -> str | None:
-        if self.is_taken(sample.index):
-            return "sample is taken in already"
+        if self.is_acknowledged(sample.index):
+            return "sample is already acknowledged"
         if self.is_in_batch(sample.index):
-            return "sample stands in a committed batch"
-        held = self.finished.get(sample.index)
-        if held is not None and held.attempt >= sample.attempt:
-            return "an attempt as late is finished"
+            return "sample belongs to a committed batch"
+        earlier = self.finished.get(sample.index)
+        if earlier is not None and earlier.attempt >= sample.attempt:
+            return "the same or a later attempt is already finished"
         if not sample.segments:
-            return "sample names no weight version"
+            return "sample has no weight version"
         versions = [segment.weight_version for segment in sample.segments]
         self.finished[sample.index] = FinishedSample(
             sample.attempt, offset, min(versions), max(versions), len(sample.tokens)
@@ -128,15 +131,15 @@
         return None
 
     def _apply_batch(self, batch: BatchCommitted) -> str | None:
-        reason = self._reason_out_of_order(batch) or self._reason_unfit(batch)
+        reason = self._order_error(batch) or self._content_error(batch)
         if reason is not None:
             return reason
         if self.batch is not None and batch.cursor == self.batch.cursor + 1:
-            self._take_in(self.batch)
+            self._acknowledge(self.batch)
         self.batch = Batch(batch.cursor, batch.attempt, batch.trainer_version, batch.indices)
         return None
 
-    def _reason_out_of_order(self, batch: BatchCommitted) -> str | None:
+    def _order_error(self, batch: BatchCommitted) -> str | None:
         last_cursor = self.batch.cursor if self.batch else 0
         last_attempt = self.batch.attempt if self.batch else 0
         is_next = batch.cursor == last_cursor + 1 and batch.attempt == 1
@@ -147,19 +150,19 @@
             return None
         return f"batch {batch.cursor}/{batch.attempt} does not follow {last_cursor}/{last_attempt}"
 
-    def _reason_unfit(self, batch: BatchCommitted) -> str | None:
+    def _content_error(self, batch: BatchCommitted) -> str | None:
         if len(set(batch.indices)) != len(batch.indices):
-            return "batch names a sample twice"
+            return "batch contains a sample twice"
         is_next = self.batch is not None and batch.cursor == self.batch.cursor + 1
         for index in batch.indices:
             sample = self.finished.get(index)
             if sample is None or (is_next and self.is_in_batch(index)):
-                return f"sample {index} is not to be had"
+                return f"sample {index} is not available"
             if batch.trainer_version - sample.oldest_version > batch.max_staleness:
                 return f"sample {index} is too old"
         return None
 
-    def _take_in(self, batch: Batch) -> None:
+    def _acknowledge(self, batch: Batch) -> None:
         for index in batch.indices:
             del self.finished[index]
             self.taken_above.add(index)
--- a/src/worksramp/rollout/job_service.py
+++ b/src/worksramp/rollout/job_service.py
@@ -122,7 +122,7 @@
         self._prompts = await read_prompts(self._log, self._prompt_stream, self.spec.num_prompts)
         async with anyio.create_task_group() as group:
             while True:
-                self._bodies.drop_taken(self._replica.state)
+                self._bodies.drop_acknowledged(self._replica.state)
                 self._start_samples(group)
                 await anyio.sleep(plan_period_seconds(self.spec))
 
--- a/src/worksramp/rollout/planner.py
+++ b/src/worksramp/rollout/planner.py
@@ -117,7 +117,7 @@
     chosen: list[int] = []
     index = state.floor
     while len(chosen) < num_to_start:
-        is_open = not state.is_taken(index) and not state.is_in_batch(index)
+        is_open = not state.is_acknowledged(index) and not state.is_in_batch(index)
         if is_open and index not in in_flight and index not in fresh:
             chosen.append(index)
         index += 1
