--- a/src/worksramp/rollout/job_service.py
+++ b/src/worksramp/rollout/job_service.py
@@ -1,7 +1,7 @@
-"""Owner of one job: keeps samples coming, and hands out batches by cursor.
+"""Service of a job's owner: keeps samples in flight and delivers batches by cursor.
 
 See Also:
-    worksramp.rollout.planner: what to start and what a batch takes.
+    worksramp.rollout.planner: which samples to start and which a batch contains.
     docs/design/delivery.md
 """
 
@@ -50,7 +50,7 @@
 
 
 class DeliveredSample(msgspec.Struct, frozen=True):
-    """One sample as the trainer gets it."""
+    """One sample as delivered to the trainer."""
 
     index: int
     attempt: int
@@ -61,11 +61,11 @@
 
 
 class DeliveredBatch(msgspec.Struct, frozen=True):
-    """A batch as the trainer gets it.
+    """A batch as delivered to the trainer.
 
     Attributes:
-        trainer_version: weights for which the staleness bound was checked; a trainer that has moved on
-            since it asked must ask again for the same cursor.
+        trainer_version: weight version for which the staleness bound was checked; a trainer whose weights
+            have changed since its request must request the same cursor again.
     """
 
     cursor: int
@@ -78,13 +78,15 @@
     """Runs one job while this node owns it.
 
     Args:
-        replica: the job's stream.
-        spec: the job's settings.
-        fleet: group of engines that serve its model.
-        prompts: stream of its prompt set.
-        preference: which figure the sample plan favours.
-        live_reserved_share: share of each engine's slots left to live requests.
+        replica: replica of the job's log stream.
+        spec: settings of the job.
+        fleet: group of engines that serve the job's model.
+        prompts: log stream of the job's prompt set.
+        preference: metric that the sample plan optimises.
+        live_reserved_share: share of each engine's slots that is reserved for live requests.
         run_sample: generates one completion on some node.
+        log: client of the log service.
+        scorers: client of the scoring services.
     """
 
     def __init__(
@@ -111,7 +113,7 @@
         self._prompts: tuple[str, ...] = ()
         self._in_flight: set[int] = set()
         self._bodies = SampleBodies(log, replica.stream)
-        self._asked_version = 0
+        self._requested_version = 0
         self._num_failed = 0
         self._throttle = SampleThrottle(spec.max_in_flight)
         self._batch_lock = anyio.Lock()
@@ -128,9 +130,9 @@
 
     @property
     def trainer_version(self) -> int:
-        """Newest weights that the trainer is known to hold, from its requests to any owner."""
+        """Newest weight version that the trainer named in a request to this or an earlier owner."""
         batch = self._replica.state.batch
-        return max(self._asked_version, batch.trainer_version if batch else 0)
+        return max(self._requested_version, batch.trainer_version if batch else 0)
 
     async def handle(self, request: NodeRequest) -> NodeReply:
         """Answer `FetchBatch`."""
@@ -181,8 +183,8 @@
     async def _try_sample(self, index: int) -> None:
         spec = self.spec
         prompt = self._prompts[(index // spec.group_size) % len(self._prompts)]
-        held = self._replica.state.finished.get(index)
-        attempt = held.attempt + 1 if held is not None else 1
+        earlier = self._replica.state.finished.get(index)
+        attempt = earlier.attempt + 1 if earlier is not None else 1
         request = RunSample(
             request_id=f"{self._replica.stream}/{index}/{attempt}/{next(self._request_numbers)}",
             fleet=self._fleet,
@@ -202,40 +204,40 @@
             self._bodies.keep(sample)
 
     def _min_weight_version(self, attempt: int) -> int:
-        """Return the oldest weights that a sample may begin on.
+        """Return the oldest weight version that a sample may start on.
 
-        One that became too old before is likely long: it needs its whole room, so it begins on the
-        newest weights or waits for them.
+        A sample that became too old before is probably long and needs the complete staleness bound. It
+        therefore starts on the trainer's version or a newer one, and waits until an engine has it.
         """
-        room = self.spec.max_staleness if attempt == 1 else 0
-        return max(0, self.trainer_version - room)
+        max_lag = self.spec.max_staleness if attempt == 1 else 0
+        return max(0, self.trainer_version - max_lag)
 
     async def _fetch_batch(self, request: FetchBatch) -> NodeReply:
         state = self._replica.state
         if request.trainer_version < self.trainer_version:
-            # A request that was under way while the trainer moved on; planning batches for it could
-            # replace a batch that the trainer has taken in by now.
+            # A delayed request from before the trainer moved on. A batch planned for it could replace one
+            # that the trainer has accepted since.
             return BatchRefused("trainer_version", f"version {self.trainer_version} has asked before")
-        self._asked_version = request.trainer_version
+        self._requested_version = request.trainer_version
         last_cursor = state.batch.cursor if state.batch else 0
         if request.cursor not in (last_cursor, last_cursor + 1) or request.cursor < 1:
             return BatchRefused("cursor", f"batch {last_cursor} was the last; ask for it or the next")
-        is_again = request.cursor == last_cursor
+        is_repeated = request.cursor == last_cursor
         trainer_version = request.trainer_version
-        if is_again and is_batch_fresh(state, self.spec, trainer_version):
+        if is_repeated and is_batch_fresh(state, self.spec, trainer_version):
             return await self._send_batch(trainer_version)
-        plan = plan_batch(state, self.spec, trainer_version, is_replan=is_again)
+        plan = plan_batch(state, self.spec, trainer_version, is_replan=is_repeated)
         if isinstance(plan, NotEnoughSamples):
             return BatchNotReady(plan.num_missing, RETRY_AFTER_SECONDS)
-        return await self._commit_batch(request, plan, trainer_version, is_again)
+        return await self._commit_batch(request, plan, trainer_version, is_repeated)
 
     async def _commit_batch(
-        self, request: FetchBatch, plan: BatchPlan, trainer_version: int, is_again: bool
+        self, request: FetchBatch, plan: BatchPlan, trainer_version: int, is_repeated: bool
     ) -> NodeReply:
         batch = self._replica.state.batch
         entry = BatchCommitted(
             cursor=request.cursor,
-            attempt=batch.attempt + 1 if batch is not None and is_again else 1,
+            attempt=batch.attempt + 1 if batch is not None and is_repeated else 1,
             trainer_version=trainer_version,
             max_staleness=self.spec.max_staleness,
             indices=plan.indices,
@@ -245,12 +247,12 @@
         except NotStartedError:
             return BatchNotReady(0, RETRY_AFTER_SECONDS)
         if not isinstance(verdict, Accepted):
-            # Unresolved or void: asking again for the same cursor tells.
+            # Unresolved or void: a further request for the same cursor finds out which.
             return BatchNotReady(0, RETRY_AFTER_SECONDS)
         return await self._send_batch(trainer_version)
 
     async def _send_batch(self, trainer_version: int) -> NodeReply:
-        """Return the committed batch, checked once more against the version that asked last."""
+        """Return the committed batch if it is still fresh for the newest requested version."""
         state = self._replica.state
         batch = state.batch
         assert batch is not None
@@ -267,7 +269,7 @@
 
 
 def to_delivered(sample: SampleFinished) -> DeliveredSample:
-    """Return a finished sample as the trainer gets it."""
+    """Return a finished sample in the form delivered to the trainer."""
     return DeliveredSample(
         sample.index, sample.attempt, sample.prompt, sample.tokens, sample.segments, sample.reward
     )
@@ -279,8 +281,8 @@
 
 
 def plan_period_seconds(spec: JobSpec) -> float:
-    """Return how long to wait between two looks at the sample plan.
+    """Return the seconds between two runs of the sample plan.
 
-    A look costs time in proportion to the samples held; a large step can wait longer for the next.
+    A run takes time in proportion to the number of samples, so jobs with large steps plan less often.
     """
     return max(MIN_PLAN_PERIOD_SECONDS, PLAN_SECONDS_PER_SAMPLE * spec.samples_per_step)
--- a/tests/unit/test_job_service.py
+++ b/tests/unit/test_job_service.py
@@ -1,4 +1,4 @@
-"""A job's owner: stale requests of a trainer that has moved on change nothing."""
+"""A delayed request of a trainer changes nothing; a batch that became too old is planned again."""
 
 from collections.abc import Awaitable, Callable
 
@@ -24,7 +24,7 @@
 
 
 async def with_service(check: Callable[[JobService, list[int]], Awaitable[None]]) -> None:
-    """Run a check against an owner whose engines produce the version in the list."""
+    """Run a check against an owner whose engines report the weight version in the list."""
     log = LogCore()
     await write_prompts(log, "prompts", ("prompt",))
     version = [1]
@@ -52,13 +52,13 @@
         await anyio.sleep(0.02)
 
 
-def test_a_request_from_before_the_trainer_moved_on_replaces_no_batch() -> None:
+def test_a_delayed_request_with_an_older_version_replaces_no_batch() -> None:
     async def check(service: JobService, version: list[int]) -> None:
         first = await fetch(service, 1, 1)
         assert isinstance(first, BatchReply)
         version[0] = 4
-        # The trainer has taken batch 1 in and asks for batch 2 with weights 4; a former request, held up
-        # on its way, now asks for batch 1 again with weights 1.
+        # The trainer has accepted batch 1 and requests batch 2 with version 4. A delayed earlier request
+        # then asks for batch 1 again with version 1.
         second = await fetch(service, 2, 4)
         assert isinstance(second, BatchReply)
         assert isinstance(await fetch(service, 2, 3), BatchRefused)
@@ -68,7 +68,7 @@
     anyio.run(with_service, check)
 
 
-def test_a_batch_too_old_for_a_newer_trainer_is_planned_anew_under_the_same_cursor() -> None:
+def test_a_batch_too_old_for_a_newer_trainer_is_planned_again_under_the_same_cursor() -> None:
     async def check(service: JobService, version: list[int]) -> None:
         first = await fetch(service, 1, 1)
         version[0] = 9
