--- a/src/worksramp/rollout/bodies.py
+++ b/src/worksramp/rollout/bodies.py
@@ -1,7 +1,7 @@
-"""Texts of finished samples: some in memory, all in the job's log stream.
+"""Access to the texts of finished samples: a bounded memory cache in front of the job's log stream.
 
-The fold keeps where each sample stands; an owner that took over, or whose memory is bounded, reads the
-texts back in ranges when a batch is sent.
+The job's state holds only the log offset of each sample. Texts that are not cached, for example after a
+takeover, are read back in ranges when a batch is sent.
 """
 
 from collections import OrderedDict
@@ -19,12 +19,12 @@
 
 
 class SampleBodies:
-    """Finds the texts of a job's finished samples.
+    """Returns the texts of a job's finished samples from memory or from the log.
 
     Args:
-        log: the log service.
-        stream: the job's stream.
-        max_cached_tokens: texts beyond it are dropped from memory, the longest held first.
+        log: client of the log service.
+        stream: log stream of the job.
+        max_cached_tokens: maximum number of tokens in memory; the texts cached first are evicted first.
     """
 
     def __init__(self, log: LogClient, stream: str, max_cached_tokens: int = MAX_CACHED_TOKENS) -> None:
@@ -36,11 +36,11 @@
 
     @property
     def num_cached_tokens(self) -> int:
-        """Tokens held in memory."""
+        """Number of tokens in the cache."""
         return self._num_tokens
 
     def keep(self, sample: SampleFinished) -> None:
-        """Hold a text in memory, within the bound."""
+        """Cache a text, evicting older ones beyond the limit."""
         self.drop(sample.index)
         self._cached[sample.index] = sample
         self._num_tokens += len(sample.tokens)
@@ -48,21 +48,21 @@
             self.drop(next(iter(self._cached)))
 
     def drop(self, index: int) -> None:
-        """Forget a text."""
+        """Evict a text from the cache."""
         sample = self._cached.pop(index, None)
         if sample is not None:
             self._num_tokens -= len(sample.tokens)
 
     def drop_acknowledged(self, state: JobState) -> None:
-        """Forget the texts of samples that the trainer has."""
+        """Evict the texts of samples that the trainer has acknowledged."""
         for index in [index for index in self._cached if state.is_acknowledged(index)]:
             self.drop(index)
 
     async def fetch(self, state: JobState, indices: Iterable[int]) -> list[SampleFinished]:
-        """Return the texts of finished samples, in the order asked for.
+        """Return finished samples with their texts, in the order of ``indices``.
 
         Raises:
-            StepError: the log failed, or does not hold a sample where the fold says.
+            StepError: the log failed, or a sample is not at the offset recorded in ``state``.
         """
         wanted = list(indices)
         found = {index: body for index in wanted if (body := self._cached_body(state, index))}
@@ -84,21 +84,22 @@
     async def _read_range(
         self, state: JobState, start: int, missing: dict[int, int], found: dict[int, SampleFinished]
     ) -> None:
-        """Read one page and move what it holds from ``missing`` to ``found``."""
+        """Read one page and move the samples that it contains from ``missing`` to ``found``."""
         page = await self._log.read(self._stream, start, READ_MAX_RECORDS, 0.0)
         for position, record in enumerate(page.records):
             for sample in samples_of_record(record):
-                held = state.finished.get(sample.index)
-                if held is None or held.attempt != sample.attempt:
+                accepted = state.finished.get(sample.index)
+                if accepted is None or accepted.attempt != sample.attempt:
                     continue
-                # The offset decides: a former owner's void record may name the same sample and attempt.
+                # Compare the offset too: a void record of a former owner may contain the same sample and
+                # attempt.
                 if missing.get(sample.index) == page.start + position:
                     found[sample.index] = sample
                     del missing[sample.index]
 
 
 def samples_of_record(record: bytes) -> tuple[SampleFinished, ...]:
-    """Return the finished samples that one log record carries; a foreign record carries none."""
+    """Return the finished samples in one log record, none if it is not a write or cannot be decoded."""
     try:
         body = msgspec.msgpack.decode(record, type=Envelope).body
         if not isinstance(body, Write):
--- a/tests/unit/test_bodies.py
+++ b/tests/unit/test_bodies.py
@@ -1,4 +1,4 @@
-"""Texts of samples come from memory or from the log, and memory is bounded."""
+"""Texts of samples are read from the cache or the log, and the cache is bounded."""
 
 import anyio
 import msgspec
@@ -17,12 +17,12 @@
     return SampleFinished(index, attempt, "prompt", (f"w{index}",), (Segment(1, 0, 1),), 0.5)
 
 
-async def written(samples: list[SampleFinished]) -> tuple[LogCore, StreamFold[JobState]]:
+async def write_samples(samples: list[SampleFinished]) -> tuple[LogCore, StreamFold[JobState]]:
     log, fold = LogCore(), StreamFold(JobState())
     envelopes = [Envelope(1, "o", Claim())]
     envelopes += [
-        Envelope(1, "o", Write(number + 1, (msgspec.msgpack.encode(one),)))
-        for number, one in enumerate(samples)
+        Envelope(1, "o", Write(number + 1, (msgspec.msgpack.encode(entry),)))
+        for number, entry in enumerate(samples)
     ]
     for offset, envelope in enumerate(envelopes):
         record = msgspec.msgpack.encode(envelope)
@@ -33,17 +33,17 @@
 
 def test_a_new_owner_reads_every_text_from_the_log() -> None:
     async def main() -> None:
-        log, fold = await written([sample(index) for index in range(NUM_SAMPLES)])
+        log, fold = await write_samples([sample(index) for index in range(NUM_SAMPLES)])
         bodies = SampleBodies(log, "job")
-        asked = list(reversed(range(NUM_SAMPLES)))
-        assert await bodies.fetch(fold.state, asked) == [sample(index) for index in asked]
+        indices = list(reversed(range(NUM_SAMPLES)))
+        assert await bodies.fetch(fold.state, indices) == [sample(index) for index in indices]
 
     anyio.run(main)
 
 
-def test_a_later_attempt_is_not_mistaken_for_an_earlier_one() -> None:
+def test_a_cached_earlier_attempt_is_not_returned_for_a_later_one() -> None:
     async def main() -> None:
-        log, fold = await written([sample(0), sample(0, attempt=2)])
+        log, fold = await write_samples([sample(0), sample(0, attempt=2)])
         bodies = SampleBodies(log, "job")
         bodies.keep(sample(0))
         assert await bodies.fetch(fold.state, [0]) == [sample(0, attempt=2)]
@@ -51,9 +51,9 @@
     anyio.run(main)
 
 
-def test_memory_is_bounded_and_what_was_dropped_is_read_again() -> None:
+def test_the_cache_is_bounded_and_evicted_texts_are_read_from_the_log() -> None:
     async def main() -> None:
-        log, fold = await written([sample(index) for index in range(20)])
+        log, fold = await write_samples([sample(index) for index in range(20)])
         bodies = SampleBodies(log, "job", max_cached_tokens=5)
         for index in range(20):
             bodies.keep(sample(index))
@@ -63,18 +63,18 @@
     anyio.run(main)
 
 
-def test_a_log_that_lost_a_sample_is_an_error() -> None:
+def test_a_sample_missing_from_the_log_is_an_error() -> None:
     async def main() -> None:
-        _, fold = await written([sample(0)])
+        _, fold = await write_samples([sample(0)])
         with pytest.raises(StepError):
             await SampleBodies(LogCore(), "job").fetch(fold.state, [0])
 
     anyio.run(main)
 
 
-def test_a_void_record_of_a_former_owner_is_not_mistaken_for_the_accepted_one() -> None:
+def test_a_void_record_of_a_former_owner_is_not_returned_for_the_accepted_one() -> None:
     async def main() -> None:
-        log, fold = await written([sample(1)])
+        log, fold = await write_samples([sample(1)])
         stale = SampleFinished(0, 1, "prompt", ("stale",), (Segment(0, 0, 1),), 0.1)
         for envelope in (
             Envelope(0, "former", Write(1, (msgspec.msgpack.encode(stale),))),
