--- a/src/worksramp/rollout/document.py
+++ b/src/worksramp/rollout/document.py
@@ -1,7 +1,7 @@
 """Schema version 1 of a tenant's configuration document: templates, jobs and limits.
 
-The check is frozen: a change of rules is a new schema version, so that nodes of two releases reach the
-same verdict about the same record.
+The validation rules of a schema version never change; new rules need a new schema version. Nodes of
+different releases therefore reach the same verdict about the same record.
 """
 
 import re
@@ -13,7 +13,7 @@
 from worksramp.coordination.configuration import Invalid
 
 SCHEMA_VERSION = 1
-# Bounds that keep one document from filling the memory of every node.
+# Bounds that keep a single document from exhausting the memory of every node.
 DOCUMENT_RANGES = {"max_live_concurrency": (1, 1_000_000), "num_fleet_cells": (1, 4096)}
 SPEC_RANGES = {
     "num_prompts": (1, 1_000_000),
@@ -29,25 +29,25 @@
 
 
 class Preference(StrEnum):
-    """Which of the two measured figures weighs more for a tenant."""
+    """Metric that the sample plan optimises for a tenant."""
 
     IDLE_TIME = "idle_time"
     STALENESS = "staleness"
 
 
 class JobSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One rollout job, complete.
+    """Complete settings of one rollout job.
 
     Attributes:
         model: name of the model, one of the document's ``models``.
         prompt_set: name of a stored prompt set of this tenant.
-        num_prompts: prompts in the set; sample i uses prompt ``(i // group_size) % num_prompts``.
+        num_prompts: number of prompts in the set; sample i uses prompt ``(i // group_size) % num_prompts``.
         scorer: address of the scoring service.
-        max_staleness: most weight versions between a sample's oldest token and its trainer.
-        group_size: completions for each prompt; a group is delivered whole.
-        samples_per_step: samples of one batch, a multiple of ``group_size``.
-        max_tokens: longest completion.
-        max_in_flight: samples generated at the same time.
+        max_staleness: maximum number of weight versions between a sample's oldest token and the trainer.
+        group_size: completions for each prompt; all samples of a group are delivered in the same batch.
+        samples_per_step: samples in one batch, a multiple of ``group_size``.
+        max_tokens: maximum number of tokens of a completion.
+        max_in_flight: maximum number of samples generated concurrently.
     """
 
     model: str
@@ -62,22 +62,24 @@
 
 
 class JobRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A job from a template; parameters replace fields of the template."""
+    """Job defined by a template; ``parameters`` override fields of the template."""
 
     template: str
     parameters: dict[str, str | int] = {}
 
 
 class TenantDocument(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything a tenant configures.
+    """Complete configuration of a tenant.
 
     Attributes:
-        models: the fleet of engines that serves each model.
-        max_live_concurrency: ceiling of the adaptive limit on live requests, a node.
-        preference: which figure the sample plan favours.
-        live_reserved_share: share of each engine's slots that rollout leaves to live requests; the
-            larger, the less rollout slows live answers.
-        num_fleet_cells: into how many cells each fleet is split for weight rollout.
+        models: name of the engine fleet that serves each model.
+        templates: job settings by template name.
+        jobs: jobs by name.
+        preference: metric that the sample plan optimises.
+        max_live_concurrency: upper bound of the adaptive limit on live requests of each node.
+        live_reserved_share: share of each engine's slots that is reserved for live requests. A larger share
+            makes rollout slow live requests less.
+        num_fleet_cells: number of cells into which each fleet is divided for weight rollout.
     """
 
     models: dict[str, str] = {}
@@ -90,16 +92,19 @@
 
 
 def group_name(tenant: str, name: str) -> str:
-    """Return a tenant's fleet or application as the machine list names it; no tenant reaches another's."""
+    """Return the name of a tenant's fleet or application in the machine list.
+
+    The prefix keeps tenants from addressing each other's fleets and applications.
+    """
     return f"{tenant}.{name}"
 
 
 def resolve_job(document: TenantDocument, name: str) -> JobSpec:
-    """Return a job's template with its parameters put in.
+    """Return the settings of a job: its template with the parameters applied.
 
     Raises:
-        msgspec.ValidationError: a parameter has the wrong name or type.
-        KeyError: the template does not exist.
+        msgspec.ValidationError: a parameter has an unknown name or the wrong type.
+        KeyError: the job or its template does not exist.
     """
     request = document.jobs[name]
     fields = msgspec.to_builtins(document.templates[request.template])
@@ -107,16 +112,20 @@
 
 
 def decode_document(raw: bytes) -> TenantDocument:
-    """Decode a document that was validated before."""
+    """Decode a document that has been validated.
+
+    Raises:
+        msgspec.DecodeError: the document is malformed or a field has the wrong type.
+    """
     return msgspec.json.decode(raw, type=TenantDocument)
 
 
 def validate_document(raw: bytes) -> Invalid | None:
-    """Return what is wrong with a document, None if nothing is."""
+    """Return the first problem found in a document, or None if it is valid."""
     try:
         document = decode_document(raw)
     except msgspec.DecodeError as error:
-        return _from_error("", error)
+        return _invalid_from_error("", error)
     for name in (*document.models, *document.models.values(), *document.templates, *document.jobs):
         if not NAME_PATTERN.match(name):
             return Invalid(name, "a name has 1 to 63 of a-z, 0-9 and -, not beginning with -")
@@ -139,7 +148,7 @@
     try:
         spec = resolve_job(document, name)
     except msgspec.ValidationError as error:
-        return _from_error(f"{path}.parameters", error)
+        return _invalid_from_error(f"{path}.parameters", error)
     if spec.model not in document.models:
         return Invalid(f"{path}.model", f"no model {spec.model!r}")
     return _validate_spec(path, spec)
@@ -157,7 +166,7 @@
     return Invalid(f"{path}.scorer", reason) if reason is not None else None
 
 
-def _from_error(prefix: str, error: msgspec.DecodeError) -> Invalid:
+def _invalid_from_error(prefix: str, error: msgspec.DecodeError) -> Invalid:
     text = str(error)
     match = _ERROR_PATH.search(text)
     path = match["path"].lstrip(".") if match else ""
