--- a/src/worksramp/rollout/sampler.py
+++ b/src/worksramp/rollout/sampler.py
@@ -1,4 +1,4 @@
-"""Generates one sample's completion on this node, for whichever job owner asked."""
+"""Generates the completion of one sample on this node, on behalf of a job owner on any node."""
 
 from contextlib import aclosing
 
@@ -13,14 +13,17 @@
 
 
 class SegmentRecorder:
-    """Joins chunks into segments by the weight version that each chunk itself names."""
+    """Collects the chunks of a stream and merges neighbours of the same weight version into segments.
+
+    The version is the one reported in each chunk, since an engine may swap weights within a stream.
+    """
 
     def __init__(self) -> None:
         self.tokens: list[str] = []
         self._segments: list[SegmentReply] = []
 
     def take(self, chunk: GenerationChunk) -> None:
-        """Add a chunk; chunks must follow each other without gaps."""
+        """Append a chunk; chunks must be passed in order and without gaps."""
         if not chunk.tokens:
             return
         start = len(self.tokens)
@@ -33,14 +36,23 @@
             self._segments.append(SegmentReply(chunk.weight_version, start, end))
 
     def sample(self) -> SampleReply:
-        """Return what was recorded."""
+        """Return the recorded tokens and segments."""
         return SampleReply(tuple(self.tokens), tuple(self._segments))
 
 
 async def run_sample(
     request: RunSample, pool: WorkerPool, engines: EngineClient, budget: RetryBudget
 ) -> SampleReply | CallFailed:
-    """Generate one completion, resumed on another engine when one breaks."""
+    """Generate one completion, resuming on another engine if an engine fails.
+
+    Args:
+        pool: engines of the fleet.
+        budget: limits the retries.
+
+    Returns:
+        The completion, or `CallFailed` if generation failed. ``is_not_started`` is set if no token was
+        received.
+    """
     policy = GenerationPolicy(
         prefers_newest=True,
         reserved_share=request.live_reserved_share,
