--- a/src/worksramp/rollout/prompts.py
+++ b/src/worksramp/rollout/prompts.py
@@ -1,6 +1,6 @@
-"""Prompt sets: immutable streams of prompts, named by their content.
+"""Prompt sets: immutable log streams of prompts, named by a digest of their content.
 
-A set is appended once; a copy appended twice does no harm, since the first prompt at each index counts.
+Appending a set twice is harmless, because only the first prompt at each index counts.
 """
 
 import msgspec
@@ -9,7 +9,7 @@
 from worksramp.backends.base import LogClient
 from worksramp.outcomes import StepError
 
-PAGE_RECORDS = 512
+READ_MAX_RECORDS = 512
 
 
 class Prompt(msgspec.Struct, frozen=True, array_like=True):
@@ -20,33 +20,42 @@
 
 
 def prompt_set_name(prompts: tuple[str, ...]) -> str:
-    """Return the name of a prompt set, a digest of its content."""
+    """Return the name of a prompt set: the XXH3 128-bit digest of its content in hexadecimal."""
     return xxhash.xxh3_128_hexdigest("\x00".join(prompts).encode())
 
 
 def prompt_stream(tenant: str, name: str) -> str:
-    """Return the stream of a tenant's prompt set; no tenant can name another's."""
+    """Return the log stream of a tenant's prompt set; the tenant prefix keeps sets of tenants apart."""
     return f"prompts.{tenant}.{name}"
 
 
 async def write_prompts(log: LogClient, stream: str, prompts: tuple[str, ...]) -> None:
-    """Append a prompt set."""
+    """Append a prompt set to its stream.
+
+    Raises:
+        StepError: the log failed; the set can be appended again.
+    """
     for index, text in enumerate(prompts):
         await log.append(stream, msgspec.msgpack.encode(Prompt(index, text)))
 
 
 async def read_prompts(log: LogClient, stream: str, num_prompts: int) -> tuple[str, ...]:
-    """Read a whole prompt set.
+    """Read a complete prompt set.
+
+    Returns:
+        The prompts in the order of their indices.
 
     Raises:
-        StepError: the log failed, or the set is not complete.
+        StepError: the log failed, or the stream contains fewer than ``num_prompts`` prompts.
     """
     found: dict[int, str] = {}
     start = 0
     while len(found) < num_prompts:
-        page = await log.read(stream, start, PAGE_RECORDS, 0.0)
+        page = await log.read(stream, start, READ_MAX_RECORDS, 0.0)
         if not page.records:
-            raise StepError("prompts.read", stream, f"{len(found)} of {num_prompts} prompts are there")
+            raise StepError(
+                "prompts.read", stream, f"{len(found)} of {num_prompts} prompts are in the stream"
+            )
         for record in page.records:
             prompt = msgspec.msgpack.decode(record, type=Prompt)
             found.setdefault(prompt.index, prompt.text)
