--- a/src/worksramp/rollout/throttle.py
+++ b/src/worksramp/rollout/throttle.py
@@ -1,12 +1,12 @@
-"""How many samples a job keeps in flight: as many as the fleet takes, found by trial.
+"""Adaptive limit on the samples that a job keeps in flight.
 
-Asking engines that have no room wastes work on every node and lets chance, not the plan, decide which
-sample starts next. So the limit doubles until the first refusal, then grows slowly and shrinks a little
-for each second in which samples were refused.
+Requests to engines without free slots waste work on every node, and chance instead of the plan decides which
+sample starts next. The limit therefore follows the capacity of the fleet: it doubles until the first refusal
+(slow start), then grows slowly and shrinks slightly for each second in which samples were refused.
 """
 
 INITIAL_LIMIT = 32.0
-GROWTH_PER_SUCCESS = 0.25
+GROWTH_AFTER_SLOW_START = 0.25
 SHRINK_FACTOR = 0.9
 SHRINK_PERIOD_SECONDS = 1.0
 MIN_LIMIT = 1.0
@@ -16,28 +16,32 @@
     """Limit on a job's samples in flight.
 
     Args:
-        max_in_flight: ceiling, from the job's settings.
+        max_in_flight: upper bound of the limit, from the job's settings.
     """
 
     def __init__(self, max_in_flight: int) -> None:
         self._max_in_flight = max_in_flight
         self._limit = min(INITIAL_LIMIT, float(max_in_flight))
-        self._is_probing = True
+        self._is_in_slow_start = True
         self._shrunk_at = float("-inf")
 
     @property
     def limit(self) -> int:
-        """Samples that may be in flight now."""
+        """Maximum number of samples in flight now."""
         return int(self._limit)
 
     def note_success(self) -> None:
-        """Count a sample that was generated."""
-        growth = 1.0 if self._is_probing else GROWTH_PER_SUCCESS
+        """Raise the limit after a sample was generated."""
+        growth = 1.0 if self._is_in_slow_start else GROWTH_AFTER_SLOW_START
         self._limit = min(float(self._max_in_flight), self._limit + growth)
 
     def note_refusal(self, now: float) -> None:
-        """Count a sample that no engine took."""
-        self._is_probing = False
+        """Lower the limit after no engine accepted a sample.
+
+        Args:
+            now: time of the refusal in seconds; the limit shrinks at most once in `SHRINK_PERIOD_SECONDS`.
+        """
+        self._is_in_slow_start = False
         if now - self._shrunk_at >= SHRINK_PERIOD_SECONDS:
             self._shrunk_at = now
             self._limit = max(MIN_LIMIT, self._limit * SHRINK_FACTOR)
