--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -38,7 +38,7 @@
 AVOID_AFTER_BREAK_S = 0.6
 #: Delay before a call that a scorer rejected as impossible is retried: a configuration may change the scorer.
 IMPOSSIBLE_PAUSE_S = 2.0
-#: Delay before the quarantine is asked again about a call that crashes scorers.
+#: Delay before a call that the quarantine has refused, because it crashes scorers, is tried again.
 CRASHING_PAUSE_S = 2.0
 #: Delay between an error or a lost response and the next call of the same item.
 FAILURE_PAUSE_S = 0.05
--- a/src/worksramp/rollout/job_service.py
+++ b/src/worksramp/rollout/job_service.py
@@ -135,7 +135,11 @@
         return max(self._requested_version, batch.trainer_version if batch else 0)
 
     async def handle(self, request: NodeRequest) -> NodeReply:
-        """Answer `FetchBatch`."""
+        """Handle a `FetchBatch` request; other requests get `NotOwner`.
+
+        Requests are handled one at a time. The reply is the batch, `BatchNotReady` with a delay after which
+        to retry, or `BatchRefused` if the cursor or the trainer's version is not valid.
+        """
         if not isinstance(request, FetchBatch):
             return NotOwner()
         async with self._batch_lock:
--- a/src/worksramp/rollout/scoring_schedule.py
+++ b/src/worksramp/rollout/scoring_schedule.py
@@ -41,7 +41,7 @@
     """Last known state of a worker that runs scoring calls.
 
     Attributes:
-        num_calls: scoring calls of this owner that the worker runs now.
+        num_calls: scoring calls of this owner that are in flight at the worker.
         num_reported_waiting: waiting requests in the worker's last load report.
         latency_s: moving mean of its response times in seconds, None before the first response.
         is_failing: whether it has recently failed part of its requests; such a worker is chosen after all
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -24,7 +24,7 @@
 WRITE_TIMEOUT_SECONDS = 2.0
 LOAD_RETRY_SECONDS = 0.1
 EXPIRY_PERIOD_SECONDS = 5.0
-#: Batches are kept for this multiple of the promised time, because the clocks of machines differ.
+#: Batches are kept for this multiple of the promised retention time, because clocks of machines differ.
 EXPIRY_FACTOR = 1.5
 MAX_TEXTS_OF_ENDED_BATCHES = 512
 #: All checkpoints are in one group, and so in one partition, which a new owner reads as a whole.
@@ -97,7 +97,7 @@
             self.checkpoint_item(work, min_new_events)
 
     def checkpoint_soon(self, work: ItemWork) -> None:
-        """Include a text in the next checkpoint, even if it has no new events."""
+        """Include a text in the next checkpoint even if it has no new events."""
         work.num_checkpointed = -1
 
     def checkpoint_item(self, work: ItemWork, min_new_events: int) -> None:
