--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -62,7 +62,7 @@
             group.start_soon(self._results.run)
             await self._texts.load()
             group.start_soon(self._texts.checkpoint_forever)
-            group.start_soon(self._texts.forget_forever)
+            group.start_soon(self._texts.expire_batches_forever)
             while not self._is_stopping:
                 self._take_batches()
                 self._carried.drop_old()
@@ -85,7 +85,7 @@
         self._is_stopping = True
         for work in self.items.works.values():
             work.stop()
-        self._texts.checkpoint(min_new_pieces=1)
+        self._texts.checkpoint(min_new_events=1)
         self.wake()
 
     async def flush(self) -> None:
