--- a/src/worksramp/edge/asgi.py
+++ b/src/worksramp/edge/asgi.py
@@ -74,7 +74,7 @@
             return b"".join(chunks)
 
 
-async def wait_gone(receive: Receive) -> None:
+async def wait_for_disconnect(receive: Receive) -> None:
     """Return when the caller has closed its connection."""
     while (await receive())["type"] != "http.disconnect":
         await anyio.lowlevel.checkpoint()
--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -20,7 +20,7 @@
 from worksramp.edge.ports import (
     PlatformRecords,
     TableAccepted,
-    Unreadable,
+    UnreadableRecord,
     VersionNamed,
 )
 from worksramp.edge.settings import EdgeBounds, EdgeSettings
@@ -278,7 +278,7 @@
         elif isinstance(event, VersionNamed):
             self.named_versions[event.model] = max(event.version, self.named_versions.get(event.model, 0))
             logger.info("version_named", model=event.model, version=event.version)
-        elif isinstance(event, Unreadable):
+        elif isinstance(event, UnreadableRecord):
             logger.error("record_unreadable", key=event.key, reason=event.reason)
         self.shard.wake()
 
--- a/src/worksramp/edge/ports.py
+++ b/src/worksramp/edge/ports.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class UnreadableRecord:
     """A record that cannot be used.
 
     A configuration known before stays in force; a worker's entry then names no worker.
@@ -67,8 +67,8 @@
     fault: RecordFault = RecordFault.MALFORMED
 
 
-ControlEvent = TableAccepted | VersionNamed | Unreadable
-WorkerEvent = WorkerSeen | WorkerGone | Unreadable
+ControlEvent = TableAccepted | VersionNamed | UnreadableRecord
+WorkerEvent = WorkerSeen | WorkerGone | UnreadableRecord
 
 
 class PlatformRecords(Protocol):
--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -6,7 +6,7 @@
 import anyio
 import structlog
 
-from worksramp.edge.ports import RecordFault, Unreadable, WorkerEvent, WorkerGone, WorkerSeen
+from worksramp.edge.ports import RecordFault, UnreadableRecord, WorkerEvent, WorkerGone, WorkerSeen
 from worksramp.routing.quarantine import Quarantine
 from worksramp.routing.workers import START_NOT_TOLD, WorkerDirectory, WorkerEntry
 
@@ -65,12 +65,12 @@
             self._note_start_told()
         elif self._are_starts_told:
             self._refuse(
-                Unreadable(entry.worker_id, "no start, which the others tell", RecordFault.BAD_VALUE)
+                UnreadableRecord(entry.worker_id, "no start, which the others tell", RecordFault.BAD_VALUE)
             )
             return
         if self.directory.is_former_start(entry):
             reason = f"start {entry.started_ms} ms is before the one that is known"
-            self._refuse(Unreadable(entry.worker_id, reason, RecordFault.FORMER_START))
+            self._refuse(UnreadableRecord(entry.worker_id, reason, RecordFault.FORMER_START))
             return
         self._faults.pop(entry.worker_id, None)
         known = self.directory.get(entry.worker_id)
@@ -97,7 +97,7 @@
         for state in self.directory.all_states():
             if state.entry.started_ms == START_NOT_TOLD:
                 reason = "no start, which others tell"
-                self._refuse(Unreadable(state.entry.worker_id, reason, RecordFault.BAD_VALUE))
+                self._refuse(UnreadableRecord(state.entry.worker_id, reason, RecordFault.BAD_VALUE))
 
     def _take_gone(self, worker_id: str) -> None:
         """Drop a worker, or keep it for a while when its entry went with the store.
@@ -114,7 +114,7 @@
             self.directory.remove(worker_id)
             self.quarantine.note_gone(worker_id)
 
-    def _refuse(self, event: Unreadable) -> None:
+    def _refuse(self, event: UnreadableRecord) -> None:
         """Use no worker of this name until a proper entry stands there; its runs go on."""
         self.on_refused(event.fault)
         self.directory.remove(event.key)
--- a/src/worksramp/weights/version_mover.py
+++ b/src/worksramp/weights/version_mover.py
@@ -21,7 +21,7 @@
 )
 from worksramp.routing.workers import WorkerDirectory, WorkerState
 from worksramp.weights.model_homes import HomeCandidate, ModelDemand, place_models
-from worksramp.weights.version_moves import ModelNeed, Move, WorkerVersion, decide_moves, max_loading_of
+from worksramp.weights.version_moves import ModelNeed, Move, WorkerVersion, decide_moves, max_concurrent_loads
 
 TICK_SECONDS = 0.05
 FIRST_LOOK_SECONDS = 0.9
@@ -92,7 +92,7 @@
 
     def _order_what_is_due(self, group: anyio.abc.TaskGroup) -> None:
         work = self.context.work
-        max_loading = self.context.max_loading or max_loading_of(len(self._fleet()))
+        max_loading = self.context.max_loading or max_concurrent_loads(len(self._fleet()))
         for move in decide_moves(self._needs(), len(work.loading), max_loading):
             work.loading[move.worker_id] = move.model
             group.start_soon(self._carry_out, move)
--- a/src/worksramp/weights/version_moves.py
+++ b/src/worksramp/weights/version_moves.py
@@ -17,7 +17,7 @@
 MIN_MAX_LOADING = 2
 
 
-def max_loading_of(num_workers: int) -> int:
+def max_concurrent_loads(num_workers: int) -> int:
     """Return how many workers of a fleet may load at the same time."""
     return max(MIN_MAX_LOADING, round(MAX_LOADING_SHARE * num_workers))
 
@@ -51,7 +51,7 @@
         named_version: the newest version.
         min_version: oldest that any open batch may use.
         num_waiting: items that wait for a place.
-        has_one_version_runs: open batches need one version for all text of an item.
+        has_single_version_runs: open batches need one version for all text of an item.
         homes: workers that follow the model's versions, None for all.
     """
 
@@ -59,7 +59,7 @@
     named_version: int
     min_version: int
     num_waiting: int
-    has_one_version_runs: bool
+    has_single_version_runs: bool
     workers: tuple[WorkerVersion, ...]
     homes: frozenset[str] | None = None
 
@@ -143,4 +143,4 @@
 
 
 def _move(need: ModelNeed, worker: WorkerVersion) -> Move:
-    return Move(worker.worker_id, need.model, need.named_version, need.has_one_version_runs)
+    return Move(worker.worker_id, need.model, need.named_version, need.has_single_version_runs)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -5,7 +5,7 @@
 from worksramp_platform.documents import StoreRecords, decode_table, decode_worker
 
 from worksramp.coordination.keyed_replica import Change
-from worksramp.edge.ports import TableAccepted, Unreadable, VersionNamed, WorkerGone, WorkerSeen
+from worksramp.edge.ports import TableAccepted, UnreadableRecord, VersionNamed, WorkerGone, WorkerSeen
 from worksramp.routing.table import RouteKind
 
 CONFIGURATION = {
@@ -94,7 +94,7 @@
     records = StoreRecords()
     assert records.control_event(Change("version/m", b'{"model":"m","version":8}', 3)) == VersionNamed("m", 8)
     assert isinstance(records.control_event(Change("config", b'{"version":1,"routes":[]}', 3)), TableAccepted)
-    assert isinstance(records.control_event(Change("config", b'{"version":"x"}', 3)), Unreadable)
+    assert isinstance(records.control_event(Change("config", b'{"version":"x"}', 3)), UnreadableRecord)
     assert records.control_event(Change("something/else", b"{}", 3)) is None
     assert records.control_event(Change("config", None, 3)) is None
 
@@ -117,4 +117,4 @@
     records = StoreRecords()
     assert isinstance(records.worker_event(Change("i-1", json.dumps(beat).encode(), 1)), WorkerSeen)
     assert records.worker_event(Change("i-1", None, 2)) == WorkerGone("i-1")
-    assert isinstance(records.worker_event(Change("i-1", b"[]", 2)), Unreadable)
+    assert isinstance(records.worker_event(Change("i-1", b"[]", 2)), UnreadableRecord)
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -16,7 +16,7 @@
 from worksramp_platform.store import unpack
 
 from worksramp.coordination.keyed_replica import Change
-from worksramp.edge.ports import RecordFault, Unreadable, WorkerSeen
+from worksramp.edge.ports import RecordFault, UnreadableRecord, WorkerSeen
 from worksramp.routing.workers import START_NOT_TOLD
 
 HUGE = 10**400
@@ -55,7 +55,7 @@
 
 def fault_of(data: bytes) -> RecordFault | None:
     event = StoreRecords().worker_event(Change("i-1", data, 1))
-    return event.fault if isinstance(event, Unreadable) else None
+    return event.fault if isinstance(event, UnreadableRecord) else None
 
 
 def test_a_proper_entry_names_a_worker() -> None:
@@ -128,12 +128,12 @@
 def test_any_value_of_any_field_is_decoded_without_an_error(field: str, value: object) -> None:
     data = json.dumps({**ENTRY, field: value}).encode()
     event = StoreRecords().worker_event(Change("i-1", data, 1))
-    assert isinstance(event, WorkerSeen | Unreadable)
+    assert isinstance(event, WorkerSeen | UnreadableRecord)
 
 
 @pytest.mark.parametrize("key", ["config", "version/m"])
 def test_nesting_without_end_is_an_unreadable_record(key: str) -> None:
-    assert isinstance(StoreRecords().control_event(Change(key, b'{"x":' + TOO_DEEP, 1)), Unreadable)
+    assert isinstance(StoreRecords().control_event(Change(key, b'{"x":' + TOO_DEEP, 1)), UnreadableRecord)
 
 
 def test_a_callers_batch_of_endless_nesting_is_malformed() -> None:
--- a/tests/unit/test_batch_decisions.py
+++ b/tests/unit/test_batch_decisions.py
@@ -22,7 +22,7 @@
 from worksramp.routing.failure_tracker import FailureTracker
 from worksramp.routing.table import Route, RouteKind, SplitPart
 from worksramp.weights.model_homes import HomeCandidate, ModelDemand, place_models
-from worksramp.weights.version_moves import ModelNeed, Move, WorkerVersion, decide_moves, max_loading_of
+from worksramp.weights.version_moves import ModelNeed, Move, WorkerVersion, decide_moves, max_concurrent_loads
 
 TIMES = LeaseTimes(expiry=1.2, renewal=0.3, order_validity=0.9, order_guard=4.2, max_replica_age=0.8)
 
@@ -88,7 +88,7 @@
         named_version=3,
         min_version=min_version,
         num_waiting=num_waiting,
-        has_one_version_runs=False,
+        has_single_version_runs=False,
         workers=workers,
     )
 
@@ -124,7 +124,12 @@
         [ModelDemand(model, num_items) for model in "abc"],
         [HomeCandidate(worker.worker_id, 8) for worker in workers],
     )
-    values = {"named_version": 3, "min_version": 2, "num_waiting": num_items, "has_one_version_runs": False}
+    values = {
+        "named_version": 3,
+        "min_version": 2,
+        "num_waiting": num_items,
+        "has_single_version_runs": False,
+    }
     return [
         ModelNeed(model=model, workers=workers, homes=homes[model], **(values | changes))  # type: ignore[arg-type]
         for model in "abc"
@@ -135,7 +140,7 @@
     needs = three_needs(48)
     assert [len(need.homes or ()) for need in needs] == [8, 8, 8]
     assert len(frozenset.union(*[need.homes or frozenset() for need in needs])) == 24
-    moves = decide_moves(needs, 0, max_loading_of(24))
+    moves = decide_moves(needs, 0, max_concurrent_loads(24))
     assert len(moves) == len({move.worker_id for move in moves}) == 10
     assert sorted(move.model for move in moves) == ["a"] * 4 + ["b"] * 3 + ["c"] * 3
     assert all(
@@ -144,7 +149,7 @@
 
 
 def test_small_fleets_load_two_at_once_and_every_worker_is_a_home_where_a_step_fills_them() -> None:
-    assert [max_loading_of(number) for number in (3, 5, 6, 24)] == [2, 2, 2, 10]
+    assert [max_concurrent_loads(number) for number in (3, 5, 6, 24)] == [2, 2, 2, 10]
     homes = place_models(
         [ModelDemand(model, 56) for model in "ab"], [HomeCandidate(f"w{number}", 16) for number in range(5)]
     )
--- a/tests/unit/test_worker_starts.py
+++ b/tests/unit/test_worker_starts.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from worksramp.edge.ports import RecordFault, Unreadable, WorkerSeen
+from worksramp.edge.ports import RecordFault, UnreadableRecord, WorkerSeen
 from worksramp.edge.worker_entries import WorkerEntries
 from worksramp.logs import configure_logs
 from worksramp.routing.quarantine import Quarantine
@@ -105,7 +105,7 @@
     entries.take(WorkerSeen(WorkerEntry("w2", "fleet", "w2:1", "z", 6, started_ms=FIRST_MS)))
     with mock.patch("worksramp.edge.worker_entries.logger") as logger:
         for _ in range(3):
-            entries.take(Unreadable("w1", "state: 'resting' is not known", RecordFault.UNKNOWN_STATE))
+            entries.take(UnreadableRecord("w1", "state: 'resting' is not known", RecordFault.UNKNOWN_STATE))
     logger.warning.assert_called_once()
     assert seen == [RecordFault.UNKNOWN_STATE] * 3
     assert [state.entry.worker_id for state in directory.usable("fleet")] == ["w2"]
