--- a/src/worksramp/weights/version_mover.py
+++ b/src/worksramp/weights/version_mover.py
@@ -207,7 +207,7 @@
         return await self._wait_for(state, move)
 
     def _order(self, move: Move, before: WorkerReport) -> VersionOrder:
-        runs = RunsDuringLoad.FINISH_FIRST if move.lets_runs_finish else RunsDuringLoad.CONTINUE
+        runs = RunsDuringLoad.FINISH_FIRST if move.finishes_runs_first else RunsDuringLoad.CONTINUE
         return VersionOrder(
             move.model,
             move.version,
--- a/src/worksramp/weights/version_moves.py
+++ b/src/worksramp/weights/version_moves.py
@@ -1,8 +1,9 @@
-"""Which workers take the next version of a model now: a pure decision from one view.
+"""Decide which workers load the next version of a model now.
 
-A home of a model (`worksramp.weights.model_homes`) that may no longer run what waits loads at once; one that
-still may loads while it has none of that model's runs and none wait, so that a new version costs no work its
-place. Other workers are brought in only where the homes have too few free slots for what waits.
+The decision is a pure function of one view of the fleet. A home of a model (`worksramp.weights.model_homes`)
+whose version is too old for the open items loads at once. A home whose version is still recent enough loads
+only while it runs nothing of that model and none of the model's items wait, so that the load takes no slot
+from an item. Other workers load only when the homes have too few free slots for the waiting items.
 """
 
 import itertools
@@ -11,27 +12,29 @@
 
 from worksramp.mechanisms import mechanism
 
-#: Loads at once, as a share of the fleet: beyond it each takes longer on the deployments measured
-#: (2 of 5 and 6 workers, 10 of 24).
+#: Concurrent loads as a share of the fleet. Beyond it (2 of 5 and 6 workers, 10 of 24), each load took longer
+#: in the measured deployments.
 MAX_LOADING_SHARE = 0.4
 MIN_MAX_LOADING = 2
 
 
 def max_concurrent_loads(num_workers: int) -> int:
-    """Return how many workers of a fleet may load at the same time."""
+    """Return the number of workers of a fleet that may load at the same time."""
     return max(MIN_MAX_LOADING, round(MAX_LOADING_SHARE * num_workers))
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerVersion:
-    """A worker and one model on it.
+    """State of one model on one worker.
 
     Attributes:
-        num_running: runs of this model there.
-        is_loading: an order for any model is under way there.
-        num_free_slots: slots that no run of any model takes.
-        is_slow: far slower than the others now.
-        is_loading_this: the order under way is for this model.
+        version: version that the worker holds.
+        num_running: runs of this model on the worker.
+        is_loading: whether the worker can take no order now, because one for any model is in progress or one
+            has just failed.
+        num_free_slots: slots that no run of any model uses.
+        is_slow: whether the worker is far slower than the others now, or fails part of its work.
+        is_loading_this: whether the order in progress is for this model.
     """
 
     worker_id: str
@@ -45,14 +48,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelNeed:
-    """One model of a fleet.
+    """What the open work of one model needs from a fleet.
 
     Attributes:
-        named_version: the newest version.
-        min_version: oldest that any open batch may use.
-        num_waiting: items that wait for a place.
-        has_single_version_runs: open batches need one version for all text of an item.
-        homes: workers that follow the model's versions, None for all.
+        named_version: newest version.
+        min_version: version that a worker needs to run every open item, the highest of their minimums.
+        num_waiting: items that wait for a slot.
+        has_single_version_runs: whether any item needs one version for all its text.
+        workers: state of the model on each worker of the fleet.
+        homes: ids of the workers that load each new version of the model, None for all workers.
     """
 
     model: str
@@ -64,68 +68,80 @@
     homes: frozenset[str] | None = None
 
     def is_home(self, worker: WorkerVersion) -> bool:
-        """Return whether a worker follows the model's versions."""
+        """Return whether a worker is a home of the model."""
         return self.homes is None or worker.worker_id in self.homes
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Order this worker to take this version."""
+    """Order for a worker to load a version of a model.
+
+    Attributes:
+        finishes_runs_first: whether the worker finishes its runs before it loads.
+    """
 
     worker_id: str
     model: str
     version: int
-    lets_runs_finish: bool
+    finishes_runs_first: bool
 
 
 def decide_moves(needs: list[ModelNeed], num_loading: int, max_loading: int) -> list[Move]:
-    """Return the orders to give now, the most needed first, the models in turn."""
+    """Return the orders to give now, the required ones first, models in round-robin order.
+
+    Args:
+        num_loading: workers that load already.
+        max_loading: workers that may load at the same time.
+    """
     candidates = itertools.chain(
-        _in_turn(_urgent_moves(need) for need in needs),
-        _in_turn(_early_moves(need) for need in needs),
+        _round_robin(_required_moves(need) for need in needs),
+        _round_robin(_early_moves(need) for need in needs),
     )
     chosen: dict[str, Move] = {}
     for move in candidates:
         if len(chosen) + num_loading >= max_loading:
             break
-        # One order at a time for each worker.
+        # Each worker takes one order at a time.
         chosen.setdefault(move.worker_id, move)
     return list(chosen.values())
 
 
-def _in_turn(moves_by_model: Iterable[list[Move]]) -> Iterable[Move]:
-    for round_of_moves in itertools.zip_longest(*moves_by_model):
-        yield from (move for move in round_of_moves if move is not None)
+def _round_robin(moves_by_model: Iterable[list[Move]]) -> Iterable[Move]:
+    for next_moves in itertools.zip_longest(*moves_by_model):
+        yield from (move for move in next_moves if move is not None)
+
 
+def _required_moves(need: ModelNeed) -> list[Move]:
+    """Return orders for workers whose version is too old for the open items.
 
-def _urgent_moves(need: ModelNeed) -> list[Move]:
-    """Workers that must load before they can run what is open: homes, and helpers for what finds no slot."""
-    too_old = [worker for worker in _movable(need) if worker.version < need.min_version]
-    moves = [_move(need, worker) for worker in too_old if need.is_home(worker)]
-    num_short = need.num_waiting - _num_slots_in_sight(need)
-    for worker in too_old:
-        if num_short <= 0:
+    These are the homes, and as many other workers as are needed where usable slots are too few.
+    """
+    outdated = [worker for worker in _update_candidates(need) if worker.version < need.min_version]
+    moves = [_move(need, worker) for worker in outdated if need.is_home(worker)]
+    num_missing_slots = need.num_waiting - _num_usable_slots(need)
+    for worker in outdated:
+        if num_missing_slots <= 0:
             break
         if not need.is_home(worker) and not worker.is_slow and worker.num_free_slots > 0:
             moves.append(_move(need, worker))
-            num_short -= worker.num_free_slots
+            num_missing_slots -= worker.num_free_slots
     return moves
 
 
 @mechanism("early_loads", without=lambda need: [])
 def _early_moves(need: ModelNeed) -> list[Move]:
-    """Have idle homes load before they must, while nothing waits for a place."""
+    """Let idle homes load before their version is too old, while no item waits for a slot."""
     if need.num_waiting > 0:
         return []
     return [
         _move(need, worker)
-        for worker in _movable(need)
+        for worker in _update_candidates(need)
         if need.is_home(worker) and worker.version >= need.min_version and worker.num_running == 0
     ]
 
 
-def _num_slots_in_sight(need: ModelNeed) -> int:
-    """Free slots of workers that may run what waits, or soon may."""
+def _num_usable_slots(need: ModelNeed) -> int:
+    """Return the number of free slots of workers that can run the waiting items now or after a load."""
     return sum(
         worker.num_free_slots
         for worker in need.workers
@@ -134,8 +150,8 @@
     )
 
 
-def _movable(need: ModelNeed) -> list[WorkerVersion]:
-    """Workers that could take an order for the newest version, the oldest and idlest first."""
+def _update_candidates(need: ModelNeed) -> list[WorkerVersion]:
+    """Return the workers that can be ordered to load the newest version, oldest and least busy first."""
     workers = [
         worker for worker in need.workers if not worker.is_loading and worker.version < need.named_version
     ]
