--- a/src/worksramp/weights/version_mover.py
+++ b/src/worksramp/weights/version_mover.py
@@ -1,4 +1,8 @@
-"""Shell around the decision of version moves: gives the orders and believes only what workers report."""
+"""Order the workers of a fleet to load new versions of models.
+
+`worksramp.weights.version_moves` decides which workers load. This module gives the orders, and records a
+version as held only after the worker has reported or confirmed it.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -24,10 +28,10 @@
 from worksramp.weights.version_moves import ModelNeed, Move, WorkerVersion, decide_moves, max_concurrent_loads
 
 TICK_SECONDS = 0.05
-FIRST_LOOK_SECONDS = 0.9
-LOOK_AGAIN_SECONDS = 0.1
-#: Steps wait for loads, so an end is looked for often; three seconds in all.
-MAX_LOOKS = 30
+FIRST_POLL_SECONDS = 0.9
+POLL_SECONDS = 0.1
+#: Steps wait for loads, so the end of a load is polled often, for three seconds in all.
+MAX_POLLS = 30
 PAUSE_AFTER_FAILURE_SECONDS = 0.5
 
 logger = structlog.get_logger()
@@ -35,16 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MoverContext:
-    """What the mover works with.
+    """Dependencies of a `VersionMover`.
 
     Attributes:
+        directory: workers of all services.
+        port: sends orders to workers and reads their reports.
+        work: open work of the fleet; the mover adds the loads in progress to it.
+        wake: makes the owner schedule the fleet's work again at once.
         named_versions: newest version of each model, kept up to date by the node.
-        wake: has the fleet's work looked at again at once.
-        may_order: whether the lease allows an order at this moment.
-        announce_order: returns once the log says that an order is about to be given.
+        table: returns the configuration in force, or None before the first.
+        may_order: returns whether the lease allows an order now.
+        announce_order: records in the log that an order will be given, and returns after that.
         holder: name of this machine.
         fence: epoch of the lease.
-        max_loading: workers that load at the same time, None for a share of the fleet.
+        max_loading: workers that may load at the same time, None for a share of the fleet.
     """
 
     directory: WorkerDirectory
@@ -62,7 +70,7 @@
 
 @dataclass(slots=True)
 class VersionMover:
-    """Orders workers to take new versions while this node holds the lease."""
+    """Order workers to load new versions while this node holds the lease."""
 
     context: MoverContext
     _pause_until: dict[str, float] = field(default_factory=dict)
@@ -71,12 +79,12 @@
     async def run(self) -> None:
         """Give orders until cancelled."""
         async with anyio.create_task_group() as group:
-            # Workers' entries lag behind the orders of the owner before.
+            # Workers' entries may not show the effect of the previous owner's orders yet.
             for state in self._fleet():
-                group.start_soon(self._ask, state)
+                group.start_soon(self._fetch_report, state)
             while True:
                 if self.context.may_order():
-                    self._order_what_is_due(group)
+                    self._start_due_loads(group)
                 await anyio.sleep(TICK_SECONDS)
 
     def _fleet(self) -> list[WorkerState]:
@@ -84,18 +92,18 @@
         services = [] if table is None else [name for name, spec in table.services.items() if spec.models]
         return [state for service in services for state in self.context.directory.usable(service)]
 
-    async def _ask(self, state: WorkerState) -> None:
+    async def _fetch_report(self, state: WorkerState) -> None:
         report = await self.context.port.report(state.entry)
         if report is not None:
-            self._believe(state, report)
+            self._record_versions(state, report)
             self.context.wake()
 
-    def _order_what_is_due(self, group: anyio.abc.TaskGroup) -> None:
+    def _start_due_loads(self, group: anyio.abc.TaskGroup) -> None:
         work = self.context.work
         max_loading = self.context.max_loading or max_concurrent_loads(len(self._fleet()))
         for move in decide_moves(self._needs(), len(work.loading), max_loading):
             work.loading[move.worker_id] = move.model
-            group.start_soon(self._carry_out, move)
+            group.start_soon(self._execute, move)
 
     def _needs(self) -> list[ModelNeed]:
         table = self.context.table()
@@ -121,14 +129,14 @@
             [ModelDemand(model, view.models.get(model, ModelWork()).num_step_items) for model in models],
             candidates,
         )
-        self._note_homes(homes)
+        self._update_homes(homes)
         return [
             self._need(model, homes[model], states, view)
             for model in models
             if model in self.context.named_versions
         ]
 
-    def _note_homes(self, homes: dict[str, frozenset[str]]) -> None:
+    def _update_homes(self, homes: dict[str, frozenset[str]]) -> None:
         for model, worker_ids in homes.items():
             if worker_ids != self._homes.get(model):
                 self._homes[model] = worker_ids
@@ -144,11 +152,11 @@
             work.min_version,
             work.num_waiting,
             work.has_one_version_work,
-            tuple(self._worker(state, model, view) for state in states),
+            tuple(self._worker_version(state, model, view) for state in states),
             homes,
         )
 
-    def _worker(self, state: WorkerState, model: str, view: FleetView) -> WorkerVersion:
+    def _worker_version(self, state: WorkerState, model: str, view: FleetView) -> WorkerVersion:
         worker_id = state.entry.worker_id
         loading = self.context.work.loading
         now = anyio.current_time()
@@ -162,7 +170,8 @@
             loading.get(worker_id) == model,
         )
 
-    async def _carry_out(self, move: Move) -> None:
+    async def _execute(self, move: Move) -> None:
+        """Carry out one order; after a failure, pause before the next order to the same worker."""
         worker_id = move.worker_id
         try:
             state = self.context.directory.get(worker_id)
@@ -173,27 +182,31 @@
             self.context.wake()
 
     async def _load(self, state: WorkerState, move: Move) -> bool:
-        """Order one load and wait until the worker reports its end; return whether it holds the version."""
-        before = await self.context.port.report(state.entry)
-        if before is None:
+        """Order one load and wait until the worker reports its end.
+
+        Returns:
+            Whether the worker holds the version.
+        """
+        report_before = await self.context.port.report(state.entry)
+        if report_before is None:
             return False
-        self._believe(state, before)
-        if before.model_versions.get(move.model, 0) >= move.version:
+        self._record_versions(state, report_before)
+        if report_before.model_versions.get(move.model, 0) >= move.version:
             return True
-        if before.is_busy:
-            return await self._wait_for(state, move)
+        if report_before.is_busy:
+            return await self._wait_until_loaded(state, move)
         await self.context.announce_order()
-        # The lease may have run out while the report or the announcement was on its way.
+        # The lease may have expired while this waited for the report or the announcement.
         if not self.context.may_order():
             return False
-        outcome = await self.context.port.order_version(state.entry, self._order(move, before))
+        outcome = await self.context.port.order_version(state.entry, self._order(move, report_before))
         logger.info(
             "version_ordered",
             worker=move.worker_id,
             model=move.model,
             version=move.version,
             fence=self.context.fence,
-            expected_sequence=before.order_sequence,
+            expected_sequence=report_before.order_sequence,
             outcome=type(outcome).__name__,
             reason=getattr(outcome, "reason", ""),
         )
@@ -203,10 +216,10 @@
         if isinstance(outcome, OrderRefused):
             return False
         assert isinstance(outcome, (OrderTaken, OrderOpen))
-        await anyio.sleep(FIRST_LOOK_SECONDS)
-        return await self._wait_for(state, move)
+        await anyio.sleep(FIRST_POLL_SECONDS)
+        return await self._wait_until_loaded(state, move)
 
-    def _order(self, move: Move, before: WorkerReport) -> VersionOrder:
+    def _order(self, move: Move, report_before: WorkerReport) -> VersionOrder:
         runs = RunsDuringLoad.FINISH_FIRST if move.finishes_runs_first else RunsDuringLoad.CONTINUE
         return VersionOrder(
             move.model,
@@ -214,22 +227,22 @@
             runs,
             self.context.holder,
             self.context.fence,
-            before.order_sequence,
+            report_before.order_sequence,
         )
 
-    async def _wait_for(self, state: WorkerState, move: Move) -> bool:
-        for _ in range(MAX_LOOKS):
+    async def _wait_until_loaded(self, state: WorkerState, move: Move) -> bool:
+        for _ in range(MAX_POLLS):
             report = await self.context.port.report(state.entry)
             if report is not None:
-                self._believe(state, report)
+                self._record_versions(state, report)
                 if not report.is_busy:
                     return report.model_versions.get(move.model, 0) >= move.version
             if state.is_gone:
                 return False
-            await anyio.sleep(LOOK_AGAIN_SECONDS)
+            await anyio.sleep(POLL_SECONDS)
         return False
 
-    def _believe(self, state: WorkerState, report: WorkerReport) -> None:
+    def _record_versions(self, state: WorkerState, report: WorkerReport) -> None:
         for model, version in report.model_versions.items():
             if version != state.versions.get(model):
                 logger.info("version_seen", worker=state.entry.worker_id, model=model, version=version)
