--- a/src/worksramp/weights/model_homes.py
+++ b/src/worksramp/weights/model_homes.py
@@ -1,8 +1,9 @@
-"""Which workers of a fleet hold a model's newest weights: its homes.
+"""Choose the homes of each model: the workers of a fleet that load its new versions.
 
-A fleet that trains several models cannot load every version everywhere: loads block work and are paid for.
-Each model gets as many workers as its steps need, and its fair share of the fleet at least, next to each
-other on a ring, so that models overlap little and a worker that comes or goes moves few homes.
+A fleet that trains several models cannot load every version on every worker, because a load blocks work and
+has a cost. Each model gets as many workers as its steps need, and at least its fair share of the fleet.
+The homes of a model are adjacent on a hash ring of the workers, so that the homes of different models overlap
+little and few homes change when a worker joins or leaves.
 """
 
 import zlib
@@ -11,19 +12,20 @@
 
 from worksramp.mechanisms import mechanism
 
-#: Slots beyond what a step needs at once: a run that moves must find a place.
+#: Factor on the slots that a step needs at once, so that a run that moves to another worker finds a slot.
 SLOT_HEADROOM = 1.15
-#: Paces differ between workers, and the longest items need the fast ones: with three homes of five workers a
-#: calm day of two trainers lost a step (worth 0.64 instead of 0.86), with all five none.
+#: Workers differ in seconds per event, and the longest items need the fast ones. With three homes on five
+#: workers, a fault-free day of two trainers lost a step (worth 0.64 instead of 0.86); with all five it lost
+#: none.
 MIN_HOMES = 6
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """What a model's steps need.
+    """Slots that the steps of a model need.
 
     Attributes:
-        num_slots: runs that a step wants to have under way at once; 0 where none is known.
+        num_slots: runs of a step that should be in progress at once, 0 before the first step.
     """
 
     model: str
@@ -35,7 +37,9 @@
     """A worker that may be a home.
 
     Attributes:
-        is_slow: far slower than the others now; it is passed over.
+        num_slots: requests that the worker runs at once.
+        is_slow: whether it is far slower than the others now, or fails part of its work; such a worker is
+            not chosen.
     """
 
     worker_id: str
@@ -43,7 +47,7 @@
     is_slow: bool = False
 
 
-def _everywhere(
+def _all_workers(
     demands: Sequence[ModelDemand], candidates: Sequence[HomeCandidate]
 ) -> dict[str, frozenset[str]]:
     """Make every worker a home of every model."""
@@ -51,16 +55,16 @@
     return {demand.model: workers for demand in demands}
 
 
-@mechanism("model_homes", without=_everywhere)
+@mechanism("model_homes", without=_all_workers)
 def place_models(
     demands: Sequence[ModelDemand], candidates: Sequence[HomeCandidate]
 ) -> dict[str, frozenset[str]]:
     """Choose the homes of each model.
 
-    The same fleet and demands give the same homes on every machine, whatever the order they are given in.
+    The result depends only on the fleet and the demands, not on their order or on the node that computes it.
 
     Returns:
-        The ids of the homes by model.
+        The worker ids of the homes, by model.
     """
     ring = sorted(
         (worker for worker in candidates if not worker.is_slow),
@@ -68,18 +72,18 @@
     )
     models = sorted(demands, key=lambda demand: demand.model)
     return {
-        demand.model: _homes(demand, ring, place * len(ring) // len(models), len(ring) // len(models))
-        for place, demand in enumerate(models)
+        demand.model: _homes(demand, ring, index * len(ring) // len(models), len(ring) // len(models))
+        for index, demand in enumerate(models)
     }
 
 
 def _homes(demand: ModelDemand, ring: Sequence[HomeCandidate], start: int, fair_share: int) -> frozenset[str]:
     homes: set[str] = set()
-    num_missing_slots = SLOT_HEADROOM * demand.num_slots
-    for step in range(len(ring)):
-        if len(homes) >= max(MIN_HOMES, fair_share) and num_missing_slots <= 0:
+    missing_slots = SLOT_HEADROOM * demand.num_slots
+    for ring_offset in range(len(ring)):
+        if len(homes) >= max(MIN_HOMES, fair_share) and missing_slots <= 0:
             break
-        worker = ring[(start + step) % len(ring)]
+        worker = ring[(start + ring_offset) % len(ring)]
         homes.add(worker.worker_id)
-        num_missing_slots -= worker.num_slots
+        missing_slots -= worker.num_slots
     return frozenset(homes)
