--- a/src/worksramp/weights/fleet_service.py
+++ b/src/worksramp/weights/fleet_service.py
@@ -113,7 +113,7 @@
         return anyio.current_time() - self._store_read_at >= period
 
     async def _announce_to_other_cells(self) -> None:
-        """Send the pending announcements; one that fails, as for a cell without owner, is sent again later."""
+        """Send the pending announcements; one that fails, as to a cell without owner, is sent again later."""
 
         async def announce_to(shard: str, version: int) -> None:
             try:
