--- a/src/worksramp/edge/shard.py
+++ b/src/worksramp/edge/shard.py
@@ -1,4 +1,4 @@
-"""A node's part in one shard of batches: replica, lease, and the owner's work while the lease is held."""
+"""Follow one shard of batches on a node: its replica, its lease, and the owner's work under the lease."""
 
 import math
 import random
@@ -44,7 +44,7 @@
 from worksramp.wire import decode, encode
 
 CLAIM_TICK_SECONDS = 0.1
-CLAIM_TRIES = 4
+MAX_CLAIM_ATTEMPTS = 4
 CLAIM_BARRIER_SECONDS = 2.0
 RELEASE_SECONDS = 1.5
 FLUSH_SECONDS = 0.7
@@ -55,17 +55,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardContext:
-    """What a node's part in a shard works with.
+    """Dependencies and settings of a `BatchShard`.
 
     Attributes:
+        log: shared log of the platform.
+        partition: partition of the shard.
+        values: store of items and texts of batches.
+        progress: store of the partial texts of items.
         node: name of the machine.
-        boot: random text of this start of the process.
-        num_cores: processor time of the machine.
-        gather_seconds: pause between two reads of a node that does not own the shard.
-        values: items and texts of batches.
-        progress: texts so far of items.
-        clock: that the ages of lease and copy are told by.
-        quarantine: takes the records of crashes, which stand in the same partition.
+        boot: random text that identifies this start of the process.
+        times: times of the owner's lease.
+        poll_seconds: longest wait of one poll of the log.
+        gather_seconds: pause after a read with new records, on a node that does not own the shard.
+        directory: workers of all services.
+        port: sends requests and orders to workers.
+        table: source of the configuration in force.
+        named_versions: newest version of each model, kept up to date by the node.
+        max_loading: workers that may load weights at the same time, None for a share of the fleet.
+        status_seconds: age until which results of an ended batch are kept.
+        cancel_s: longest time after the end of a batch in which one of its items may still reach a worker.
+        num_cores: processor time of the machine, in cores.
+        may_own: returns whether this node may claim the lease now.
+        quarantine: applies the crash records, which are in the same partition.
+        metrics: metrics of this node.
+        time_of_day: returns the time in seconds that batches are stamped with.
+        clock: measures the ages of the lease and the replica.
     """
 
     log: SharedLog
@@ -94,7 +108,15 @@
 
 @dataclass(slots=True)
 class BatchShard:
-    """One shard on one node."""
+    """Follow one shard on one node, and run its batches while this node holds the lease.
+
+    Attributes:
+        ledger: batches and results of the shard, as the replica has them.
+        replica: this node's replica of the partition.
+        owner_record: newest owner's record, None before the first.
+        owner_changed_at: time at which this node received that record, or finished loading the replica.
+        former_order_at: latest time at which another machine can have given an order to a worker.
+    """
 
     context: ShardContext
     ledger: BatchLedger = field(default_factory=BatchLedger)
@@ -113,7 +135,7 @@
             context.log,
             context.partition,
             context.poll_seconds,
-            self._take_change,
+            self._apply_change,
             self.context.gather_seconds,
             context.clock,
         )
@@ -121,27 +143,27 @@
 
     @property
     def is_owner(self) -> bool:
-        """Whether this node holds the lease, as far as it knows."""
+        """Whether this node runs the shard's batches; another node may have claimed the lease since."""
         return self._owner is not None
 
     @property
     def owner(self) -> BatchOwner | None:
-        """What runs the shard's batches here, None while another node owns them."""
+        """Object that runs the shard's batches on this node, None while this node is not the owner."""
         return self._owner
 
     @property
     def epoch(self) -> int:
-        """Epoch of the lease that this node holds, 0 when it holds none."""
+        """Epoch of the lease that this node holds, 0 if it holds none."""
         return self._writer.owner.epoch if self._writer is not None else 0
 
     @property
     def num_waiting(self) -> int:
-        """Items that wait for a place, as far as this node owns them."""
+        """Number of items that wait for a slot, 0 if this node is not the owner."""
         return len(self._owner.items.waiting()) if self._owner is not None else 0
 
     @property
     def num_unscored(self) -> int:
-        """Items whose texts are whole and wait for their scores, as far as this node owns them."""
+        """Number of items with complete texts that wait for scores, 0 if this node is not the owner."""
         return len(self._owner.items.unscored()) if self._owner is not None else 0
 
     def may_order(self) -> bool:
@@ -149,29 +171,30 @@
         if self._writer is None or self._is_stopping:
             return False
         now = anyio.current_time()
-        # The age of the renewal counts a suspension, in which another node may have become the owner.
+        # The age of the renewal includes suspensions of the machine: another node may have become the owner
+        # during one.
         renewed_at = now - self._writer.renewal_age_s()
         return may_order(now, self.former_order_at, renewed_at, self.context.times)
 
     def wake(self) -> None:
-        """Tell the owner's work that the directory or the configuration has changed."""
+        """Make the owner schedule its work again after a change of the directory or the configuration."""
         if self._owner is not None:
             self._owner.wake()
 
     async def run(self) -> None:
-        """Follow the partition and own the shard whenever the lease falls to this node."""
+        """Follow the partition, claim the lease when it is due, and run the batches while holding it."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.replica.follow)
             await self.replica.wait_loaded()
             self.owner_changed_at = anyio.current_time()
             while True:
-                decision = decide_claim(self._view(), self.context.times, anyio.current_time())
+                decision = decide_claim(self._lease_view(), self.context.times, anyio.current_time())
                 if isinstance(decision, ClaimLease):
-                    await self._claim_and_own(decision.epoch)
+                    await self._claim_and_run(decision.epoch)
                 await anyio.sleep(CLAIM_TICK_SECONDS)
 
     async def stop(self) -> None:
-        """Close the runs, keep their texts and give the lease back."""
+        """Stop the runs, store their partial texts and release the lease, each within a time limit."""
         self._is_stopping = True
         owner, writer = self._owner, self._writer
         if owner is None or writer is None:
@@ -183,23 +206,23 @@
             await writer.release()
             logger.info("lease_released", epoch=writer.owner.epoch, is_in_log=writer.owner.is_released)
 
-    def _take_change(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         if change.key == OWNER_KEY and change.value is not None:
-            self._take_owner_record(decode(change.value, OwnerRecord))
+            self._apply_owner_record(decode(change.value, OwnerRecord))
             return
         if self.context.quarantine.take_change(change):
             return
         self.ledger.apply(change)
         self.wake()
 
-    def _take_owner_record(self, record: OwnerRecord) -> None:
+    def _apply_owner_record(self, record: OwnerRecord) -> None:
         now = anyio.current_time()
         if record.boot != self.context.boot:
             self.former_order_at = latest_order_at(record, self.context.node, now)
         self.owner_record = record
         self.owner_changed_at = now
 
-    def _view(self) -> LeaseView:
+    def _lease_view(self) -> LeaseView:
         owner = self.owner_record
         return LeaseView(
             owner=owner,
@@ -213,28 +236,33 @@
             regained_age=self.replica.regained_age(),
         )
 
-    async def _claim_and_own(self, epoch: int) -> None:
+    async def _claim_and_run(self, epoch: int) -> None:
         claimed_at = anyio.current_time()
         if self.owner_record is not None and self.owner_record.is_order_open:
-            # Announced, and nothing was heard since: it may be given as late as now.
+            # The former owner announced this order and wrote nothing after it: it may be given as late as now.
             self.former_order_at = latest_order_at(self.owner_record, self.context.node, claimed_at)
         record = self._claim_record(epoch, claimed_at)
-        silence = claimed_at - self.owner_changed_at
+        owner_silence_s = claimed_at - self.owner_changed_at
         former = self.owner_record.node if self.owner_record else ""
         is_won = await self._claim(record)
         logger.info(
-            "lease_claimed", epoch=epoch, is_won=is_won, former=former, silence_seconds=round(silence, 3)
+            "lease_claimed",
+            epoch=epoch,
+            is_won=is_won,
+            former=former,
+            silence_seconds=round(owner_silence_s, 3),
         )
         if is_won:
-            await self._own(record)
+            await self._run_as_owner(record)
 
     def _claim_record(self, epoch: int, now: float) -> OwnerRecord:
-        """Return the record of a claim, which hands on what is known of the last order."""
+        """Return the record of a claim, which passes on what is recorded of the last order."""
         before = self.owner_record
         record = OwnerRecord(self.context.node, self.context.boot, epoch)
         if before is None:
             return record
-        # What this machine ordered itself may have been a moment ago, as far as others are told.
+        # The last order may be this machine's own. Its time is not kept, so others must assume that it was
+        # given just now.
         age_s = now - self.former_order_at if math.isfinite(self.former_order_at) else 0.0
         return msgspec.structs.replace(
             record,
@@ -244,14 +272,17 @@
         )
 
     async def _claim(self, record: OwnerRecord) -> bool:
-        """Append the owner's record at the end that this node's copy has reached.
+        """Append the owner's record on the condition that the partition ends where this node's replica does.
+
+        The append is not fenced, because all claimants of one epoch would use its first sequence number. The
+        store answers a repeated number with its first answer, so each claimant would read that it had won.
 
-        Not yet fenced: claimants of one epoch would share its first sequence number, and the store gives a
-        repeated number its first answer again, so that all of them would read that they had won.
+        Returns:
+            Whether the claim is in the log and this node is the owner.
         """
         assert self.replica.position is not None
         end = self.replica.position
-        for _ in range(CLAIM_TRIES):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             outcome = await self.context.log.append(
                 self.context.partition, (KeyedRecord(OWNER_KEY, encode(record)),), expected_end=end
             )
@@ -259,17 +290,17 @@
                 return True
             if not isinstance(outcome, OutcomeOpen):
                 break
-        return await self._is_claim_in(record)
+        return await self._is_claim_recorded(record)
 
-    async def _is_claim_in(self, record: OwnerRecord) -> bool:
+    async def _is_claim_recorded(self, record: OwnerRecord) -> bool:
         try:
             await self.replica.barrier(CLAIM_BARRIER_SECONDS)
         except NotCurrentError:
             return False
-        seen = self.owner_record
-        return seen is not None and (seen.boot, seen.epoch) == (record.boot, record.epoch)
+        recorded = self.owner_record
+        return recorded is not None and (recorded.boot, recorded.epoch) == (record.boot, record.epoch)
 
-    async def _own(self, record: OwnerRecord) -> None:
+    async def _run_as_owner(self, record: OwnerRecord) -> None:
         context = self.context
         writer = FencedWriter(context.log, context.partition, record, context.times.renewal, context.clock)
         owner = BatchOwner(
@@ -295,15 +326,15 @@
         mover = VersionMover(self._mover_context(owner, writer, record.epoch))
         try:
             async with anyio.create_task_group() as group:
-                # From the first fenced append on the store refuses former owners; what they wrote until then
-                # must be in the copy before positions are given out.
+                # From the first fenced append on, the store refuses former owners. The replica must hold all
+                # that they wrote before it, because the owner then assigns positions.
                 first_end = await writer.begin()
                 await self.replica.wait_position(first_end)
                 group.start_soon(writer.run)
                 self._writer, self._owner = writer, owner
                 self.replica.gather_seconds = OWNER_GATHER_SECONDS
                 group.start_soon(mover.run)
-                group.start_soon(self._end_with_lease, writer, group.cancel_scope)
+                group.start_soon(self._cancel_when_lease_ends, writer, group.cancel_scope)
                 await owner.run()
         except* OwnershipLostError:
             logger.warning("lease_lost", epoch=record.epoch)
@@ -312,8 +343,8 @@
             self._writer = None
             self.replica.gather_seconds = self.context.gather_seconds
 
-    async def _end_with_lease(self, writer: FencedWriter, scope: anyio.CancelScope) -> None:
-        """End the owner's work once the lease is given back or another node has claimed."""
+    async def _cancel_when_lease_ends(self, writer: FencedWriter, scope: anyio.CancelScope) -> None:
+        """Cancel the owner's work when the lease is released or another node has claimed it."""
         while not writer.owner.is_released:
             if self.owner_record is not None and self.owner_record.epoch > writer.owner.epoch:
                 logger.warning("lease_lost", epoch=writer.owner.epoch, to=self.owner_record.node)
