--- a/src/worksramp/edge/shard.py
+++ b/src/worksramp/edge/shard.py
@@ -239,7 +239,7 @@
     async def _claim_and_run(self, epoch: int) -> None:
         claimed_at = anyio.current_time()
         if self.owner_record is not None and self.owner_record.is_order_open:
-            # The former owner announced this order and wrote nothing after it: it may be given as late as now.
+            # The former owner announced this order and wrote nothing after it: it may be given even now.
             self.former_order_at = latest_order_at(self.owner_record, self.context.node, claimed_at)
         record = self._claim_record(epoch, claimed_at)
         owner_silence_s = claimed_at - self.owner_changed_at
