--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -1,4 +1,4 @@
-"""An edge node: what it follows, what it serves, when it is ready, and how it stops."""
+"""Assemble the parts of an edge node, and decide when it is ready and how it stops."""
 
 import functools
 import random
@@ -45,22 +45,28 @@
 
 
 def poll_seconds(bounds: EdgeBounds) -> float:
-    """Return the longest wait of one poll: a hung one must be noticed well within the bounds."""
+    """Return the longest wait of one poll, in seconds.
+
+    It is short enough to notice a poll that hangs well within the bounds.
+    """
     return min(bounds.configuration_apply / 4, bounds.settle / 2)
 
 
 def gather_seconds(bounds: EdgeBounds) -> float:
-    """Return the pause between two reads of batches: with many nodes, what they cost is reads."""
+    """Return the pause after a read of the batches with new records, in seconds.
+
+    With many nodes, the number of reads is what they cost the store.
+    """
     return 0.2 * bounds.settle
 
 
 def lease_times(bounds: EdgeBounds) -> LeaseTimes:
-    """Return the times of the owner's lease. Source: docs/design/prepared-machines.md."""
+    """Return the times of the owner's lease, as docs/design/prepared-machines.md gives them."""
     return LeaseTimes(
         expiry=0.4 * bounds.lease,
         renewal=0.1 * bounds.lease,
         order_validity=0.3 * bounds.lease,
-        # An order follows its announcement by no more than the validity of a renewal.
+        # An order is given at most the validity of a renewal after its announcement.
         order_guard=(1.1 + 0.3) * bounds.lease,
         max_replica_age=poll_seconds(bounds) + gather_seconds(bounds) + 0.1 * bounds.lease,
         after_outage=0.25 * bounds.lease,
@@ -69,17 +75,36 @@
 
 @mechanism("unready_when_cut_off", without=lambda node: True)
 def _may_be_ready(node: "EdgeNode") -> bool:
-    """Send new callers elsewhere while batches are refused here, or the configuration may be an old one.
+    """Report not ready while this node refuses batches or its configuration may be out of date.
 
-    Load pattern: some nodes are cut off from the store, the others are not. A trainer's calls come to the
-    same node each time, so that each of its reads is refused there until the platform sends it elsewhere.
+    Load pattern: some nodes are partitioned from the store and the others are not. The platform sends a
+    trainer's calls to the same node each time, so each of its reads is refused until the platform sends it to
+    another node.
     """
     return node.is_table_fresh() and not node.batches.is_cut_off()
 
 
 @dataclass(slots=True)
 class EdgeNode:
-    """One edge node, apart from its HTTP server."""
+    """One edge node without its HTTP server.
+
+    Attributes:
+        settings: settings in force; a reload replaces them.
+        log: shared log of the platform, with metrics added to its calls.
+        port: sends requests and orders to workers.
+        records: reads the platform's records.
+        time_of_day: returns the time in seconds that batches are stamped with.
+        clock: measures the ages of replicas and leases.
+        table: source of the configuration in force.
+        directory: workers of all services.
+        named_versions: newest version of each model that a trainer has named.
+        num_in_flight: requests being answered; the HTTP application counts them.
+        is_stopping: whether the node has begun to stop.
+        quarantine: keeps requests that crash workers from workers.
+        forwarder: forwards live requests.
+        shard: this node's part in the shard of batches.
+        batches: handles the calls of trainers about batches.
+    """
 
     settings: EdgeSettings
     log: SharedLog
@@ -105,8 +130,8 @@
         settings, bounds = self.settings, self.settings.bounds
         poll = poll_seconds(bounds)
         self.log = ObservedLog(self.log, self.metrics)
-        # Crashes stand in the partition of batches, which every node follows as it is: one of their own would
-        # cost each node two more reads a second, beside the six that it makes.
+        # Crash records are in the partition of batches, which every node follows anyway. A partition of their
+        # own would cost each node two more reads a second, in addition to its six.
         self.quarantine = Quarantine(
             self.port,
             self.directory,
@@ -123,12 +148,12 @@
             self.log,
             self.records.control,
             poll,
-            self._take_control,
+            self._apply_control_change,
             0.025 * bounds.configuration_apply,
             self.clock,
         )
         self._workers = KeyedReplica(
-            self.log, self.records.workers, poll, self._take_worker, 0.075 * bounds.drain, self.clock
+            self.log, self.records.workers, poll, self._apply_worker_change, 0.075 * bounds.drain, self.clock
         )
         self._entries = WorkerEntries(
             self.directory,
@@ -176,7 +201,7 @@
         self._add_gauges()
 
     def _add_gauges(self) -> None:
-        """Add the figures that say what this node believes now."""
+        """Add the gauges of this node's state."""
         gauge = self.metrics.gauge
         gauge("ready", "Whether new callers should come here", lambda: float(self.is_ready))
         gauge("in_flight", "Requests being answered", lambda: self.num_in_flight)
@@ -223,7 +248,7 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the node knows a configuration, the workers and the batches."""
+        """Whether the node has a configuration and has loaded the workers and the batches."""
         return (
             self.table.current is not None
             and self._workers.is_loaded
@@ -233,7 +258,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether new callers should be sent to this node."""
         return self.is_loaded and not self.is_stopping and _may_be_ready(self)
 
     def is_table_fresh(self) -> bool:
@@ -250,31 +275,32 @@
             group.start_soon(self.quarantine.run)
 
     async def stop(self) -> None:
-        """Hand over, stay until callers go elsewhere, and finish what is in flight.
+        """Release the shard, serve until callers are sent to other nodes, and finish requests in flight.
 
-        Returns before the platform's patience ends, whatever is still in flight.
+        Returns before the platform kills the process at the end of the grace period, even if requests are
+        still in flight.
         """
-        started = anyio.current_time()
+        started_at = anyio.current_time()
         self.is_stopping = True
         grace = self.settings.bounds.grace
         logger.info("stopping", num_in_flight=self.num_in_flight, is_owner=self.shard.is_owner)
         await self.shard.stop()
-        # Readiness is asked about once a second, and two misses take a node out.
-        leave_at = started + min(3.2, grace / 2)
-        while anyio.current_time() < started + 0.85 * grace:
+        # The platform polls readiness about once a second and stops sending callers after two misses.
+        leave_at = started_at + min(3.2, grace / 2)
+        while anyio.current_time() < started_at + 0.85 * grace:
             if anyio.current_time() >= leave_at and self.num_in_flight == 0:
                 break
             await anyio.sleep(STOP_TICK_SECONDS)
         logger.info(
             "stopped",
             num_in_flight=self.num_in_flight,
-            seconds=round(anyio.current_time() - started, 3),
+            seconds=round(anyio.current_time() - started_at, 3),
         )
 
-    def _take_control(self, change: Change) -> None:
+    def _apply_control_change(self, change: Change) -> None:
         event = self.records.control_event(change)
         if isinstance(event, TableAccepted):
-            self._take_table(event.table)
+            self._apply_table(event.table)
         elif isinstance(event, VersionNamed):
             self.named_versions[event.model] = max(event.version, self.named_versions.get(event.model, 0))
             logger.info("version_named", model=event.model, version=event.version)
@@ -282,7 +308,7 @@
             logger.error("record_unreadable", key=event.key, reason=event.reason)
         self.shard.wake()
 
-    def _take_table(self, table: RouteTable) -> None:
+    def _apply_table(self, table: RouteTable) -> None:
         before = self.table.current
         if before is not None and table.version < before.version:
             logger.warning("configuration_older", version=table.version, in_force=before.version)
@@ -290,7 +316,7 @@
         self.table.current = table
         logger.info("configuration_in_force", version=table.version, num_routes=len(table.routes))
 
-    def _take_worker(self, change: Change) -> None:
+    def _apply_worker_change(self, change: Change) -> None:
         event = self.records.worker_event(change)
         if event is not None:
             self._entries.take(event)
