--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -1,4 +1,4 @@
-"""What a node makes of the entries of workers as they change."""
+"""Keep the directory of workers up to date as their entries in the store change."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,24 +11,27 @@
 from worksramp.routing.workers import START_NOT_TOLD, WorkerDirectory, WorkerEntry
 
 DROP_TICK_SECONDS = 0.1
-#: Entries that go this soon after an outage of the store went because of it.
-AFTER_OUTAGE_SECONDS = 1.0
-#: Entries that lapsed with the store are back this soon after its return; others are gone. Source: the users.
-LAPSED_ENTRY_S = 2.0
-#: Refused entries whose last fault is remembered, so that each is logged once a change.
-MAX_REMEMBERED_FAULTS = 256
+#: An entry that is removed this soon after an outage of the store is taken to have expired because of it.
+OUTAGE_GRACE_SECONDS = 1.0
+#: Workers write entries that expired in an outage of the store again within this time after it, as the users
+#: state. Entries that are still missing then are those of workers that are gone.
+REWRITE_GRACE_S = 2.0
+#: Refused entries whose last fault is kept, so that each fault is logged once and not at each write.
+MAX_LOGGED_FAULTS = 256
 
 logger = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class WorkerEntries:
-    """Keeps the directory of workers true to their entries.
+    """Apply changes of workers' entries to the directory of workers.
 
     Attributes:
-        regained_age: seconds since the store answered again after an outage.
-        on_refused: told of each entry that names no worker.
-        on_change: told of each change.
+        directory: directory that the changes are applied to.
+        quarantine: notified when a worker's process is gone or has restarted.
+        regained_age: returns seconds since the store answered again after an outage.
+        on_refused: called with the fault of each entry that cannot be used.
+        on_change: called after each change.
     """
 
     directory: WorkerDirectory
@@ -36,43 +39,45 @@
     regained_age: Callable[[], float]
     on_refused: Callable[[RecordFault], None]
     on_change: Callable[[], None]
-    _faults: dict[str, RecordFault] = field(default_factory=dict)
-    _are_starts_told: bool = False
+    _logged_faults: dict[str, RecordFault] = field(default_factory=dict)
+    _are_starts_reported: bool = False
 
     def take(self, event: WorkerEvent) -> None:
-        """Take in a change of one entry; whatever it is, the others hold."""
+        """Apply a change of one entry; one that cannot be used does not affect other workers."""
         if isinstance(event, WorkerSeen):
-            self._take_seen(event.entry)
+            self._apply_seen(event.entry)
         elif isinstance(event, WorkerGone):
-            self._take_gone(event.worker_id)
+            self._apply_gone(event.worker_id)
         else:
             self._refuse(event)
         self.on_change()
 
     async def drop_missing(self) -> None:
-        """Drop workers whose entries went with the store and did not come back, until cancelled."""
+        """Remove workers whose entries expired in an outage and were not written again, until cancelled."""
         while True:
             await anyio.sleep(DROP_TICK_SECONDS)
-            if self.regained_age() < LAPSED_ENTRY_S:
+            if self.regained_age() < REWRITE_GRACE_S:
                 continue
             for worker_id in self.directory.missing_since(anyio.current_time()):
                 logger.info("worker_dropped", worker=worker_id)
                 self.directory.remove(worker_id)
                 self.on_change()
 
-    def _take_seen(self, entry: WorkerEntry) -> None:
+    def _apply_seen(self, entry: WorkerEntry) -> None:
         if entry.started_ms != START_NOT_TOLD:
-            self._note_start_told()
-        elif self._are_starts_told:
+            self._require_starts()
+        elif self._are_starts_reported:
             self._refuse(
-                UnreadableRecord(entry.worker_id, "no start, which the others tell", RecordFault.BAD_VALUE)
+                UnreadableRecord(
+                    entry.worker_id, "no start time, unlike other entries", RecordFault.BAD_VALUE
+                )
             )
             return
         if self.directory.is_former_start(entry):
-            reason = f"start {entry.started_ms} ms is before the one that is known"
+            reason = f"start time {entry.started_ms} ms is before the known start of the worker"
             self._refuse(UnreadableRecord(entry.worker_id, reason, RecordFault.FORMER_START))
             return
-        self._faults.pop(entry.worker_id, None)
+        self._logged_faults.pop(entry.worker_id, None)
         known = self.directory.get(entry.worker_id)
         is_restart = known is not None and known.entry.started_ms != entry.started_ms
         if known is None or is_restart or known.entry.is_leaving != entry.is_leaving:
@@ -89,24 +94,28 @@
             self.quarantine.note_gone(entry.worker_id)
         self.directory.put(entry)
 
-    def _note_start_told(self) -> None:
-        """Workers of a platform all tell their starts, or none: what tells none beside them is no worker."""
-        if self._are_starts_told:
+    def _require_starts(self) -> None:
+        """Refuse the entries without a start time, now and later.
+
+        Either all workers of a platform report their start times or none does. Once one entry has a start
+        time, an entry without one is not that of a worker.
+        """
+        if self._are_starts_reported:
             return
-        self._are_starts_told = True
+        self._are_starts_reported = True
         for state in self.directory.all_states():
             if state.entry.started_ms == START_NOT_TOLD:
-                reason = "no start, which others tell"
+                reason = "no start time, unlike other entries"
                 self._refuse(UnreadableRecord(state.entry.worker_id, reason, RecordFault.BAD_VALUE))
 
-    def _take_gone(self, worker_id: str) -> None:
-        """Drop a worker, or keep it for a while when its entry went with the store.
+    def _apply_gone(self, worker_id: str) -> None:
+        """Remove a worker, or keep it for a while if its entry expired because of an outage of the store.
 
-        Entries run out while the store is away, since nobody can write them; sound workers write them again
-        within about two seconds, and those of others are gone for good.
+        Entries expire while the store is unavailable, because workers cannot renew them. Healthy workers
+        write them again within about two seconds; the entries of other workers do not return.
         """
-        was_outage = self.regained_age() < AFTER_OUTAGE_SECONDS
-        self._faults.pop(worker_id, None)
+        was_outage = self.regained_age() < OUTAGE_GRACE_SECONDS
+        self._logged_faults.pop(worker_id, None)
         logger.info("worker_gone", worker=worker_id, is_kept=was_outage)
         if was_outage:
             self.directory.mark_missing(worker_id, anyio.current_time())
@@ -115,12 +124,12 @@
             self.quarantine.note_gone(worker_id)
 
     def _refuse(self, event: UnreadableRecord) -> None:
-        """Use no worker of this name until a proper entry stands there; its runs go on."""
+        """Remove the worker from the directory until its entry can be used again; its runs continue."""
         self.on_refused(event.fault)
         self.directory.remove(event.key)
-        if self._faults.get(event.key) is event.fault:
+        if self._logged_faults.get(event.key) is event.fault:
             return
-        if len(self._faults) >= MAX_REMEMBERED_FAULTS:
-            self._faults.pop(next(iter(self._faults)))
-        self._faults[event.key] = event.fault
+        if len(self._logged_faults) >= MAX_LOGGED_FAULTS:
+            self._logged_faults.pop(next(iter(self._logged_faults)))
+        self._logged_faults[event.key] = event.fault
         logger.warning("entry_refused", worker=event.key, fault=event.fault.value, reason=event.reason)
