--- a/src/worksramp/edge/ports.py
+++ b/src/worksramp/edge/ports.py
@@ -1,4 +1,4 @@
-"""What an edge node asks of the platform it runs on, beside the log and the workers."""
+"""Port of an edge node to the records of its platform: configurations, weight versions and worker entries."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,14 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TableAccepted:
-    """A configuration was accepted."""
+    """A configuration was accepted.
+
+    Attributes:
+        table: the decoded configuration.
+    """
 
     table: RouteTable
 
 
 @dataclass(frozen=True, slots=True)
 class VersionNamed:
-    """A trainer named a version of a model."""
+    """A trainer named a new weight version of a model."""
 
     model: str
     version: int
@@ -27,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSeen:
-    """A worker's entry was written."""
+    """A worker's entry was written or renewed."""
 
     entry: WorkerEntry
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerGone:
-    """A worker's entry is no longer there."""
+    """A worker's entry was removed or has expired."""
 
     worker_id: str
 
@@ -43,10 +47,10 @@
     """Why a record cannot be used.
 
     Attributes:
-        MALFORMED: the bytes are not of the form that records have.
-        BAD_VALUE: a field is missing, of another type, or beyond what it can be.
-        UNKNOWN_STATE: it names a state that is not known.
-        FORMER_START: it tells of a start of the worker before one that is known.
+        MALFORMED: the bytes cannot be decoded as a record.
+        BAD_VALUE: a field is missing, has the wrong type, or is out of range.
+        UNKNOWN_STATE: the state in the record is not a known one.
+        FORMER_START: the start time in the record is before the known start of the worker.
     """
 
     MALFORMED = "malformed"
@@ -59,7 +63,13 @@
 class UnreadableRecord:
     """A record that cannot be used.
 
-    A configuration known before stays in force; a worker's entry then names no worker.
+    If it is a configuration, the one before stays in force. If it is a worker's entry, the worker gets no new
+    work until its entry can be used again.
+
+    Attributes:
+        key: key of the record; the worker id for a worker's entry.
+        reason: one line for people.
+        fault: class of the fault.
     """
 
     key: str
@@ -72,11 +82,14 @@
 
 
 class PlatformRecords(Protocol):
-    """Where the platform keeps its records and what they mean.
+    """Partitions of the platform's records, and their decoding.
 
     Attributes:
+        control: partition of configurations and weight versions.
+        workers: partition of workers' entries.
+        batches: partition of batches, results, owners and crash records.
         values: partitions of items and texts, which no node follows; the same on all nodes.
-        progress: partition of texts so far, which only owners read.
+        progress: partition of partial texts, which only owners read.
     """
 
     control: Partition
@@ -86,7 +99,7 @@
     progress: Partition
 
     def control_event(self, change: Change) -> ControlEvent | None:
-        """Return what a change of configuration or versions means."""
+        """Return the event in a change of the partition ``control``, None if the node need not handle it."""
 
     def worker_event(self, change: Change) -> WorkerEvent | None:
-        """Return what a change of a worker's entry means."""
+        """Return the event in a change of the partition ``workers``, None if the node need not handle it."""
