--- a/src/worksramp/edge/serve.py
+++ b/src/worksramp/edge/serve.py
@@ -1,4 +1,4 @@
-"""HTTP server of an edge node and its signals."""
+"""Run the HTTP server of an edge node, and handle the signals to stop it and to reload its settings."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -19,19 +19,19 @@
 
 MAX_INCOMPLETE_BYTES = 65_536
 BACKLOG = 1024
-DEFAULT_IDLE_SECONDS = 15.0
-GRACEFUL_SECONDS = 0.5
-IDLE_TICK_SECONDS = 0.5
+DEFAULT_IDLE_TIMEOUT_SECONDS = 15.0
+GRACEFUL_TIMEOUT_SECONDS = 0.5
+IDLE_TIMEOUT_PERIOD_SECONDS = 0.5
 RELOADABLE = ("bounds", "max_loading")
 
 logger = structlog.get_logger()
 
 
 def apply_switches(file: str, settings: EdgeSettings) -> None:
-    """Switch the mechanisms off that the settings name, and all others on.
+    """Switch off the mechanisms that the settings list, and switch on all others.
 
     Raises:
-        SettingsError: one of them does not exist.
+        SettingsError: a listed mechanism does not exist.
     """
     try:
         MECHANISMS.switch_off(settings.switched_off)
@@ -42,34 +42,36 @@
 async def serve_node(
     node: EdgeNode, application: Application, read_settings: Callable[[], EdgeSettings]
 ) -> None:
-    """Serve until a signal says to stop, then stop in order.
+    """Serve until a signal to stop arrives, then stop the node and the HTTP server, in this order.
 
     Args:
-        read_settings: reads the settings file again; raises SettingsError when it cannot be used.
+        node: node to run.
+        application: ASGI application that serves the node's callers.
+        read_settings: reads the settings file again, and raises SettingsError if it cannot be used.
     """
-    config = _config(node)
-    http_stop, http_ended = anyio.Event(), anyio.Event()
+    config = _hypercorn_config(node)
+    http_stop, http_stopped = anyio.Event(), anyio.Event()
     async with anyio.create_task_group() as group:
 
         async def serve_http() -> None:
             await serve(application, config, shutdown_trigger=http_stop.wait)  # type: ignore[arg-type]
-            http_ended.set()
+            http_stopped.set()
 
         group.start_soon(serve_http)
         group.start_soon(node.run)
-        group.start_soon(_follow_idle_limit, node, config)
+        group.start_soon(_update_idle_timeout, node, config)
         logger.info(
             "started", node=node.settings.node_id, zone=node.settings.zone, listen=node.settings.listen
         )
         await _wait_for_stop_signal(node, read_settings)
         await node.stop()
         http_stop.set()
-        with anyio.move_on_after(2 * GRACEFUL_SECONDS):
-            await http_ended.wait()
+        with anyio.move_on_after(2 * GRACEFUL_TIMEOUT_SECONDS):
+            await http_stopped.wait()
         group.cancel_scope.cancel()
 
 
-def _config(node: EdgeNode) -> Config:
+def _hypercorn_config(node: EdgeNode) -> Config:
     config = Config()
     config.bind = [node.settings.listen]
     if node.settings.ready_listen and node.settings.ready_listen != node.settings.listen:
@@ -82,18 +84,18 @@
     config.include_date_header = False
     config.h11_max_incomplete_size = MAX_INCOMPLETE_BYTES
     config.backlog = BACKLOG
-    config.keep_alive_timeout = DEFAULT_IDLE_SECONDS
-    config.graceful_timeout = GRACEFUL_SECONDS
+    config.keep_alive_timeout = DEFAULT_IDLE_TIMEOUT_SECONDS
+    config.graceful_timeout = GRACEFUL_TIMEOUT_SECONDS
     return config
 
 
-async def _follow_idle_limit(node: EdgeNode, config: Config) -> None:
-    """Keep connections open for as long as the configuration in force says."""
+async def _update_idle_timeout(node: EdgeNode, config: Config) -> None:
+    """Set the timeout of idle connections to that of the configuration in force, until cancelled."""
     while True:
         table = node.table.current
         if table is not None:
             config.keep_alive_timeout = table.limits.idle_timeout_seconds
-        await anyio.sleep(IDLE_TICK_SECONDS)
+        await anyio.sleep(IDLE_TIMEOUT_PERIOD_SECONDS)
 
 
 async def _wait_for_stop_signal(node: EdgeNode, read_settings: Callable[[], EdgeSettings]) -> None:
@@ -106,9 +108,10 @@
 
 
 def reload_settings(node: EdgeNode, read_settings: Callable[[], EdgeSettings]) -> None:
-    """Read the settings again; those that cannot be used leave the old ones in force.
+    """Read the settings again and replace the node's values of the fields in ``RELOADABLE``.
 
-    Bounds and limits hold from now on; addresses, names and the store need a new start, which is said.
+    Changes of other fields need a restart, and the log names these fields. If the file cannot be used, all
+    settings stay as they are.
     """
     try:
         settings = read_settings()
