--- a/src/worksramp/edge/asgi.py
+++ b/src/worksramp/edge/asgi.py
@@ -1,4 +1,4 @@
-"""Small helpers over the ASGI messages of one HTTP request."""
+"""Read the request body and send the response through the ASGI messages of one HTTP request."""
 
 import math
 from collections.abc import AsyncIterator, Awaitable, Callable, MutableMapping
@@ -27,12 +27,12 @@
 
 
 class BodyTooSlowError(Exception):
-    """The next part of the body did not come in time."""
+    """The next part of the body did not arrive in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: Headers
@@ -40,26 +40,32 @@
 
 
 def json_answer(status: int, value: Any, headers: Headers | None = None) -> Answer:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body.
+
+    Args:
+        value: value to encode.
+        headers: further headers.
+    """
     return Answer(status, [(CONTENT_TYPE, JSON_TYPE), *(headers or [])], msgspec.json.encode(value))
 
 
-async def read_body(receive: Receive, max_bytes: int, part_seconds: float = math.inf) -> bytes:
-    """Return the whole body of a request.
+async def read_body(receive: Receive, max_bytes: int, part_timeout_seconds: float = math.inf) -> bytes:
+    """Return the complete body of a request.
 
     Args:
-        part_seconds: longest pause between two parts of it.
+        max_bytes: largest accepted size.
+        part_timeout_seconds: longest wait for each part of the body.
 
     Raises:
-        CallerGoneError: the caller left before its end.
-        BodyTooLargeError: it is longer than ``max_bytes``.
-        BodyTooSlowError: a part did not come in time.
+        CallerGoneError: the caller disconnected before the end of the body.
+        BodyTooLargeError: the body is longer than ``max_bytes``.
+        BodyTooSlowError: a part did not arrive in time.
     """
     chunks: list[bytes] = []
     num_bytes = 0
     while True:
         try:
-            with anyio.fail_after(part_seconds):
+            with anyio.fail_after(part_timeout_seconds):
                 message = await receive()
         except TimeoutError as error:
             raise BodyTooSlowError from error
@@ -75,13 +81,13 @@
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Return when the caller has closed its connection."""
+    """Wait until the caller has closed its connection."""
     while (await receive())["type"] != "http.disconnect":
         await anyio.lowlevel.checkpoint()
 
 
 async def send_answer(send: Send, answer: Answer) -> None:
-    """Send a whole answer."""
+    """Send a complete response, with its content length."""
     headers = [pair for pair in answer.headers if pair[0] != b"content-length"]
     headers.append((b"content-length", str(len(answer.body)).encode()))
     await send({"type": "http.response.start", "status": answer.status, "headers": headers})
@@ -89,7 +95,11 @@
 
 
 async def send_stream(send: Send, status: int, headers: Headers, chunks: AsyncIterator[bytes]) -> None:
-    """Send an answer as it comes; an error of ``chunks`` leaves it visibly unfinished."""
+    """Send a response chunk by chunk.
+
+    If ``chunks`` raises an error, the final message is not sent, so that the caller can see that the response
+    is incomplete.
+    """
     await send({"type": "http.response.start", "status": status, "headers": headers})
     async for chunk in chunks:
         await send({"type": "http.response.body", "body": chunk, "more_body": True})
