--- a/src/worksramp/edge/settings.py
+++ b/src/worksramp/edge/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an edge node: a TOML file decoded into checked structs."""
+"""Read the settings of an edge node from a TOML file, and check them."""
 
 import math
 import tomllib
@@ -14,17 +14,19 @@
 
 
 class EdgeBounds(msgspec.Struct, frozen=True):
-    """Bounds that the deployment promises or asks for, in seconds. Timers follow from them.
+    """Time bounds that the deployment guarantees or requires, in seconds.
+
+    The node's timers are derived from them.
 
     Attributes:
-        configuration_apply: an accepted configuration is in force after this.
-        grace: a stopped process is killed after this.
-        lease: two machines must not order one worker in turn within this.
-        settle: an accepted batch or result is known everywhere after this.
-        status: results are kept for this long.
-        acknowledge: a call of a batch is answered within this.
-        drain: a worker that leaves gets no new work after this.
-        cancel: an item reaches no worker later than this after the end of its batch.
+        configuration_apply: time within which an accepted configuration is in force.
+        grace: time after a stop signal at which the platform kills the process.
+        lease: time within which two machines must not give orders to the same worker in turn.
+        settle: time within which every node has an accepted batch or result.
+        status: time for which results are kept.
+        acknowledge: time within which a call about a batch is answered.
+        drain: time after which a draining worker gets no new work.
+        cancel: time after the end of a batch within which its items may still reach a worker.
     """
 
     configuration_apply: float = 2.0
@@ -38,10 +40,13 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """The platform's store, and what one record and one call may hold.
+    """Address and limits of the platform's store.
 
     Attributes:
-        num_partitions: partitions of a topic; the same on all nodes.
+        address: ``ip:port`` of the store.
+        max_record_bytes: largest size of one record.
+        max_call_bytes: largest size of one call.
+        num_partitions: number of partitions of a topic; must be the same on all nodes.
     """
 
     address: str
@@ -51,11 +56,11 @@
 
 
 class MachineSettings(msgspec.Struct, frozen=True):
-    """What the machine gives to this process.
+    """Processor time that the machine gives to this process.
 
     Attributes:
         cpu_share: share of each core.
-        cpu_speed: how fast a core is, as a multiple of an ordinary one.
+        cpu_speed: speed of a core, as a multiple of an ordinary core.
     """
 
     cpu_share: float = 1.0
@@ -68,14 +73,20 @@
 
 
 class EdgeSettings(msgspec.Struct, frozen=True):
-    """Everything one edge node is told. Unknown fields are passed over, so that newer files work.
+    """All settings of one edge node; unknown fields in a file are ignored, so that newer files work.
 
     Attributes:
+        node_id: name of the node.
+        zone: zone of the node.
         listen: ``ip:port`` for callers.
-        ready_listen: ``ip:port`` where readiness is asked; empty for that of callers.
-        metrics_listen: ``ip:port`` for figures; empty for none.
-        switched_off: mechanisms that decisions are made without, to see what they are worth.
-        max_loading: workers that take new weights at the same time, None for a share of the fleet.
+        store: platform's store.
+        ready_listen: ``ip:port`` for readiness checks; empty to use that for callers.
+        metrics_listen: ``ip:port`` for metrics; empty for none.
+        max_loading: workers that may load weights at the same time, None for a share of the fleet.
+        log_level: lowest level that is logged, one of `worksramp.logs.LEVELS`.
+        switched_off: names of mechanisms to switch off, to measure their effect.
+        machine: processor time of the machine.
+        bounds: time bounds of the deployment.
     """
 
     node_id: str
@@ -95,7 +106,7 @@
     """Read and check a settings file.
 
     Raises:
-        SettingsError: it cannot be used; names file, path and reason.
+        SettingsError: the file cannot be used; the error has its name, the path of the field and the reason.
     """
     try:
         raw = tomllib.loads(Path(file).read_text(encoding="utf-8"))
@@ -108,7 +119,7 @@
     except msgspec.ValidationError as error:
         reason, _, path = str(error).partition(" - at `$.")
         raise SettingsError(file, path.rstrip("`") or "(top)", reason) from error
-    _check(file, settings)
+    _check_settings(file, settings)
     return settings
 
 
@@ -116,7 +127,7 @@
     """Check that servers can listen where the settings say.
 
     Raises:
-        SettingsError: a port is taken, or the address is not this machine's.
+        SettingsError: a port is in use, or an address is not one of this machine.
     """
     for path in ("listen", "ready_listen", "metrics_listen"):
         address = getattr(settings, path)
@@ -125,7 +136,7 @@
             raise SettingsError(file, path, reason)
 
 
-def _check(file: str, settings: EdgeSettings) -> None:
+def _check_settings(file: str, settings: EdgeSettings) -> None:
     addresses = {"listen": settings.listen, "store.address": settings.store.address}
     addresses |= {"ready_listen": settings.ready_listen} if settings.ready_listen else {}
     addresses |= {"metrics_listen": settings.metrics_listen} if settings.metrics_listen else {}
