--- a/src/worksramp/edge/metrics.py
+++ b/src/worksramp/edge/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of one edge node, for Prometheus: counters by outcome, times by stage, and what the node believes.
+"""Prometheus metrics of one edge node: counters by outcome, histograms of times, and gauges of its state.
 
 Label values come from fixed sets (kinds of routes, names of calls, classes of outcomes), so their number is
-bounded whatever callers send.
+bounded for any input from callers.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class NodeMetrics:
-    """All figures of one node, in a registry of their own."""
+    """All metrics of one node, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -38,7 +38,14 @@
         )
 
     def gauge(self, name: str, text: str, read: Callable[[], float], **labels: str) -> None:
-        """Add a figure that is read whenever the figures are asked for."""
+        """Add a gauge whose value is read at each scrape.
+
+        Args:
+            name: name without the prefix ``worksramp_``; used again with other labels for the same gauge.
+            text: help text.
+            read: returns the current value.
+            labels: names and values of the labels.
+        """
         gauge = self._gauges.get(name)
         if gauge is None:
             gauge = Gauge(f"worksramp_{name}", text, tuple(labels), registry=self.registry)
@@ -46,7 +53,7 @@
         (gauge.labels(**labels) if labels else gauge).set_function(read)
 
     def text(self) -> bytes:
-        """Return all figures in Prometheus' text form."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, text: str, *labels: str) -> Counter:
