--- a/src/worksramp/edge/observed_log.py
+++ b/src/worksramp/edge/observed_log.py
@@ -1,4 +1,4 @@
-"""A shared log whose calls are counted and timed."""
+"""Wrap a shared log to count and time its calls."""
 
 from dataclasses import dataclass
 
@@ -21,23 +21,28 @@
 
 
 @dataclass(slots=True)
-class _Call:
-    """One call under way."""
+class _TimedCall:
+    """One call in progress."""
 
     metrics: NodeMetrics
     name: str
     started_at: float
 
-    def end(self, outcome: object, is_timed: bool = True) -> None:
-        """Take in how it ended."""
+    def end(self, outcome: object, is_duration_recorded: bool = True) -> None:
+        """Record the end of the call.
+
+        Args:
+            outcome: result of the call, counted under its class name, or the name itself.
+            is_duration_recorded: whether the duration counts; that of a read that waits for records does not.
+        """
         text = outcome if isinstance(outcome, str) else type(outcome).__name__
         self.metrics.log_calls.labels(self.name, text).inc()
-        if is_timed:
+        if is_duration_recorded:
             self.metrics.log_call_seconds.labels(self.name).observe(anyio.current_time() - self.started_at)
 
 
 class ObservedLog(SharedLog):
-    """Passes all calls on to another log and counts them by outcome."""
+    """Pass all calls on to another log, and record their outcomes and durations in the node's metrics."""
 
     def __init__(self, log: SharedLog, metrics: NodeMetrics) -> None:
         super().__init__(log.limits)
@@ -51,7 +56,7 @@
         fence: Fence | None = None,
         expected_end: int | None = None,
     ) -> AppendOutcome:
-        """Append all records or none."""
+        """Append all records or none; see `SharedLog.append`."""
         call = self._begin("append")
         outcome = await self._log.append(partition, records, fence, expected_end)
         call.end(outcome)
@@ -60,26 +65,26 @@
     async def read(
         self, partition: Partition, start: int, wait_seconds: float, max_bytes: int | None = None
     ) -> RecordsRead | RecordsGone:
-        """Read records from an offset."""
+        """Read records from an offset on; see `SharedLog.read`."""
         call = self._begin("read")
         try:
             answer = await self._log.read(partition, start, wait_seconds, max_bytes)
         except LogUnavailableError:
-            call.end(UNAVAILABLE, is_timed=False)
+            call.end(UNAVAILABLE, is_duration_recorded=False)
             raise
-        call.end(answer, is_timed=not wait_seconds)
+        call.end(answer, is_duration_recorded=not wait_seconds)
         return answer
 
     async def newest(self, partition: Partition, after: str | None) -> NewestPage:
-        """Read a page of the newest records by key."""
+        """Read one page of the newest record of each key; see `SharedLog.newest`."""
         call = self._begin("newest")
         try:
             page = await self._log.newest(partition, after)
         except LogUnavailableError:
-            call.end(UNAVAILABLE, is_timed=False)
+            call.end(UNAVAILABLE, is_duration_recorded=False)
             raise
         call.end(page)
         return page
 
-    def _begin(self, name: str) -> _Call:
-        return _Call(self._metrics, name, anyio.current_time())
+    def _begin(self, name: str) -> _TimedCall:
+        return _TimedCall(self._metrics, name, anyio.current_time())
