--- a/src/worksramp/edge/__init__.py
+++ b/src/worksramp/edge/__init__.py
@@ -1,1 +1,1 @@
-"""One role for machines that keep nothing: forwards live requests and runs submitted batches."""
+"""Edge node, which keeps no local state: forwards live requests and runs submitted batches."""
