--- a/src/worksramp/mechanisms.py
+++ b/src/worksramp/mechanisms.py
@@ -1,7 +1,7 @@
-"""Registry of the mechanisms that decisions are made with; each can be switched off to see what it is worth.
+"""Registry of mechanisms: decision functions that can be switched off one by one to measure their effect.
 
-A mechanism is a decorated function together with what stands in its place when it is off. The switches are
-set once, from the settings, before a node starts; all are on by default.
+A mechanism is a decorated function with a replacement that is called while the mechanism is off. All are on
+by default. The settings may switch some of them off, once, before a node starts.
 """
 
 import functools
@@ -14,7 +14,7 @@
 
 
 class UnknownMechanismError(ValueError):
-    """A name that no mechanism has."""
+    """No mechanism has the given name."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,8 @@
     """One entry of the registry.
 
     Attributes:
-        summary: first line of its doc comment.
+        name: name in the settings.
+        summary: first line of the function's docstring.
     """
 
     name: str
@@ -30,23 +31,29 @@
 
 
 class Mechanisms:
-    """All mechanisms by name, and which are off."""
+    """Registry of mechanisms, and the set of those that are switched off.
+
+    Attributes:
+        by_name: registered mechanisms by name.
+    """
 
     def __init__(self) -> None:
         self.by_name: dict[str, Mechanism] = {}
         self._off: frozenset[str] = frozenset()
 
     def switch_off(self, names: Iterable[str]) -> None:
-        """Have these off and all others on.
+        """Switch off the named mechanisms and switch on all others.
 
         Raises:
-            UnknownMechanismError: a name is not in the registry.
+            UnknownMechanismError: a name is not registered.
         """
         off = frozenset(names)
-        unknown = sorted(off - set(self.by_name))
-        if unknown:
-            known = ", ".join(sorted(self.by_name))
-            raise UnknownMechanismError(f"no mechanism {unknown[0]!r}; there are {known}")
+        unknown_names = sorted(off - set(self.by_name))
+        if unknown_names:
+            known_names = ", ".join(sorted(self.by_name))
+            raise UnknownMechanismError(
+                f"no mechanism is named {unknown_names[0]!r}; known names: {known_names}"
+            )
         self._off = off
 
     def is_on(self, name: str) -> bool:
@@ -59,7 +66,8 @@
         """Register the decorated function as a mechanism.
 
         Args:
-            without: called in its place when it is off, with the same arguments.
+            name: name of the mechanism in the settings.
+            without: replacement that is called with the same arguments while the mechanism is off.
         """
 
         def decorate(function: Callable[ParamsT, ResultT]) -> Callable[ParamsT, ResultT]:
@@ -83,5 +91,5 @@
 def mechanism(
     name: str, without: Callable[..., Any]
 ) -> Callable[[Callable[ParamsT, ResultT]], Callable[ParamsT, ResultT]]:
-    """Register the decorated function among the product's mechanisms; see `Mechanisms.register`."""
+    """Register the decorated function in `MECHANISMS`; see `Mechanisms.register`."""
     return MECHANISMS.register(name, without)
