--- a/src/worksramp/outcomes.py
+++ b/src/worksramp/outcomes.py
@@ -1,18 +1,18 @@
-"""Tagged outcomes and step errors shared by every layer.
+"""Outcome types and step errors that all layers share.
 
-Every error carries the step that failed and the peer at which it failed, so that a log line or an
-HTTP body can name both.
+Each error has the step that failed and the peer at which it failed, so that a log line or an HTTP body can
+name both.
 """
 
 from dataclasses import dataclass
 
 
 class StepError(Exception):
-    """A step towards a peer failed.
+    """A call to a peer failed.
 
     Attributes:
-        step: what was being done, for example ``engine.generate``.
-        peer: address or id of the other side.
+        step: name of the call, for example ``engine.generate``.
+        peer: address or id of the peer.
         reason: one line for people.
     """
 
@@ -24,7 +24,12 @@
 
 
 class NotStartedError(StepError):
-    """The peer certainly did not begin: no byte reached it, or it refused before it began."""
+    """The peer certainly did not start the call: no byte reached it, or it refused the call first.
+
+    Attributes:
+        retry_after_seconds: time after which the call may be sent again, None if not known.
+        is_leaving: whether the peer refused because it is draining.
+    """
 
     def __init__(
         self,
@@ -40,12 +45,17 @@
 
 
 class InterruptedStepError(StepError):
-    """The peer may have begun, and may have finished; its answer is not known."""
+    """The peer may have started or even finished the call; its reply was not received."""
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The request ran once and this is its answer."""
+    """The request ran once.
+
+    Attributes:
+        status: HTTP status of the response.
+        body: body of the response.
+    """
 
     status: int
     body: bytes
@@ -53,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request was certainly not run; it may be sent again after ``retry_after_seconds``."""
+    """The request certainly did not run, and may be sent again after ``retry_after_seconds``."""
 
     step: str
     peer: str
@@ -63,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The request may have run; it will not be run again under the same key."""
+    """The request may have run, and will not be run again under the same idempotency key."""
 
     step: str
     peer: str
@@ -72,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyReused:
-    """The idempotency key was used before with a different request body."""
+    """The idempotency key was used, or is in use, for a different request."""
 
     reason: str
 
