--- a/src/worksramp/step_report.py
+++ b/src/worksramp/step_report.py
@@ -1,7 +1,8 @@
-"""Says from the nodes' logs which groups of which steps came too late, and in which stage their time went.
+"""Report from the nodes' logs which groups of which steps were late, and in which stage their time was spent.
 
-Lines are those of `worksramp.logs`: key=value pairs, in any order of machines. What stands before the first
-pair (a stamp, the name of a machine) is passed over.
+A group is called lost if its last item was listed too late or never. Lines are those of `worksramp.logs`
+(key=value pairs), of several nodes in any order. Text before the first pair, such as a time stamp or the name
+of a machine, is ignored.
 """
 
 import math
@@ -11,20 +12,22 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-#: Stages of `worksramp.rollout.stage_clock`, and the time before the owner took the batch.
+#: Stages of `worksramp.rollout.stage_clock`, after the time before the owner first handled the batch.
 BEFORE_OWNER = "before_owner"
 STAGES = (BEFORE_OWNER, "waiting", "running", "scoring")
-HEAD = "step   batch             asked    taken at      groups lost whole  last group lost: item, stages"
-WANTED_EVENTS = ("batch_taken", "item_listed", "item_left", "batch_ended")
+TABLE_HEADER = (
+    "step   batch             asked    taken at      groups lost whole  last group lost: item, stages"
+)
+STEP_EVENTS = ("batch_taken", "item_listed", "item_left", "batch_ended")
 
 
 @dataclass(frozen=True, slots=True)
 class ItemEnd:
-    """How an item ended under its last owner.
+    """End of an item under its last owner.
 
     Attributes:
-        age_s: of its batch when it was listed, infinity when it never was.
-        stage_s: seconds in each stage.
+        age_s: age of the batch when the item was listed, infinity if it was never listed.
+        stage_s: seconds that the item spent in each stage.
     """
 
     item_id: str
@@ -34,18 +37,20 @@
 
     @property
     def main_stage(self) -> str:
-        """Stage that most of its time went into."""
+        """Stage in which the item spent the most time."""
         return max(STAGES, key=lambda stage: self.stage_s.get(stage, 0.0))
 
 
 @dataclass(slots=True)
-class StepSeen:
-    """One step as the logs show it.
+class LoggedStep:
+    """One step, read from the logs.
 
     Attributes:
-        asked_at: time of day when it was first sent, minutes and seconds.
-        taken_at_s: age of the batch each time an owner took it.
-        ends: items that were listed or left, by id.
+        num_wanted_groups: number of groups that the trainer waits for.
+        target_s: age of the batch by which the trainer wants these groups.
+        asked_at: time of day at which the step was first sent, minutes and seconds.
+        taken_at_s: age of the batch each time that an owner began to handle it.
+        ends: items that were listed, or unfinished at the end of the batch, by id.
     """
 
     batch_id: str
@@ -57,7 +62,7 @@
     ends: dict[str, ItemEnd] = field(default_factory=dict)
 
     def groups(self) -> dict[str, ItemEnd]:
-        """Return the last item of each group."""
+        """Return the last listed item of each group, by group."""
         last: dict[str, ItemEnd] = {}
         for end in self.ends.values():
             if end.group not in last or end.age_s > last[end.group].age_s:
@@ -65,24 +70,24 @@
         return last
 
     @property
-    def whole_s(self) -> float:
-        """Age at which the groups that the trainer waits for were all listed, infinity for never."""
+    def complete_s(self) -> float:
+        """Age of the batch when the groups that the trainer waits for were complete, infinity for never."""
         ages_s = sorted(end.age_s for end in self.groups().values())
         return ages_s[self.num_wanted_groups - 1] if 0 < self.num_wanted_groups <= len(ages_s) else math.inf
 
-    def lost(self, grace_s: float) -> list[ItemEnd]:
+    def lost_groups(self, grace_s: float) -> list[ItemEnd]:
         """Return the last items of the groups that the trainer waits for and did not get in time.
 
         Args:
-            grace_s: how much later than its target a group still counts.
+            grace_s: seconds after the target in which a group still counts as in time.
         """
         ends = sorted(self.groups().values(), key=lambda end: end.age_s)
         wanted = ends[: self.num_wanted_groups]
         return [end for end in wanted if end.age_s > self.target_s + grace_s]
 
 
-def fields_of(line: str) -> dict[str, str]:
-    """Return the pairs of a line, none for one that cannot be split."""
+def parse_pairs(line: str) -> dict[str, str]:
+    """Return the key=value pairs of a line, no pairs if the line cannot be split."""
     try:
         words = shlex.split(line)
     except ValueError:
@@ -90,15 +95,15 @@
     return {key: value for key, sep, value in (word.partition("=") for word in words) if sep}
 
 
-def read_steps(lines: Iterable[str]) -> list[StepSeen]:
-    """Return all steps that the lines tell of, in the order in which they were first taken."""
-    steps: dict[str, StepSeen] = {}
-    for pairs in _wanted(lines):
+def read_steps(lines: Iterable[str]) -> list[LoggedStep]:
+    """Return all steps in the lines, in the order of their first event ``batch_taken``."""
+    steps: dict[str, LoggedStep] = {}
+    for pairs in _step_events(lines):
         batch_id = pairs.get("batch_id", "")
         if pairs["event"] == "batch_taken":
-            seen = steps.setdefault(
+            logged_step = steps.setdefault(
                 batch_id,
-                StepSeen(
+                LoggedStep(
                     batch_id,
                     pairs.get("step", ""),
                     int(pairs.get("num_wanted_groups", 0)),
@@ -106,7 +111,7 @@
                     _asked_at(pairs),
                 ),
             )
-            seen.taken_at_s.append(float(pairs.get("age_s", 0.0)))
+            logged_step.taken_at_s.append(float(pairs.get("age_s", 0.0)))
         elif batch_id in steps and pairs["event"] in ("item_listed", "item_left"):
             _add_end(steps[batch_id], pairs)
     return list(steps.values())
@@ -121,13 +126,13 @@
     return f"{asked_at:%M:%S}.{asked_at.microsecond // 100_000}"
 
 
-def _wanted(lines: Iterable[str]) -> Iterator[dict[str, str]]:
+def _step_events(lines: Iterable[str]) -> Iterator[dict[str, str]]:
     for line in lines:
-        if any(f"event={event}" in line for event in WANTED_EVENTS):
-            yield fields_of(line)
+        if any(f"event={event}" in line for event in STEP_EVENTS):
+            yield parse_pairs(line)
 
 
-def _add_end(step: StepSeen, pairs: dict[str, str]) -> None:
+def _add_end(step: LoggedStep, pairs: dict[str, str]) -> None:
     stage_s = {stage: float(pairs.get(f"{stage}_s", 0.0)) for stage in STAGES[1:]}
     stage_s[BEFORE_OWNER] = step.taken_at_s[-1]
     is_listed = pairs["event"] == "item_listed"
@@ -139,10 +144,11 @@
 
 
 def report(lines: Iterable[str], grace_s: float) -> str:
-    """Return the table of steps, and the lost groups by the stage of their last item.
+    """Return a table of the steps, followed by counts of lost groups by the main stage of their last item.
 
     Args:
-        grace_s: how much later than its target a group still counts.
+        lines: log lines of one or more nodes.
+        grace_s: seconds after the target in which a group still counts as in time.
     """
     rows = [
         "step   batch             taken at           groups lost  last of them: item, age, seconds in stages"
@@ -151,7 +157,7 @@
     stage_sums: defaultdict[str, float] = defaultdict(float)
     num_wanted = 0
     for step in read_steps(lines):
-        lost = step.lost(grace_s)
+        lost = step.lost_groups(grace_s)
         num_wanted += step.num_wanted_groups
         for end in lost:
             causes[f"{end.main_stage}{'' if math.isfinite(end.age_s) else ', never listed'}"] += 1
@@ -167,11 +173,11 @@
     return "\n".join(rows)
 
 
-def _row(step: StepSeen, lost: list[ItemEnd]) -> str:
+def _row(step: LoggedStep, lost: list[ItemEnd]) -> str:
     taken = ",".join(f"{age_s:.1f}" for age_s in step.taken_at_s)
     row = (
         f"{step.step:6} {step.batch_id:17} {step.asked_at:8} {taken:14} {step.num_wanted_groups:5} "
-        f"{len(lost):4} {step.whole_s:5.1f}"
+        f"{len(lost):4} {step.complete_s:5.1f}"
     )
     if not lost:
         return row
--- a/tests/unit/test_step_report.py
+++ b/tests/unit/test_step_report.py
@@ -1,4 +1,4 @@
-"""The report of late groups, from lines as nodes write them."""
+"""Report of late groups from the log lines of nodes."""
 
 from pathlib import Path
 
@@ -29,26 +29,26 @@
 ]
 
 
-def test_groups_are_whole_with_their_last_item_and_only_those_waited_for_count() -> None:
+def test_a_group_is_complete_with_its_last_item_and_only_wanted_groups_count() -> None:
     (step,) = read_steps(LINES)
-    assert (step.step, step.whole_s, step.asked_at) == ("4", 9.0, "20:14.0")
-    assert [end.item_id for end in step.lost(0.7)] == ["i3"]
-    assert step.lost(2.0) == []
+    assert (step.step, step.complete_s, step.asked_at) == ("4", 9.0, "20:14.0")
+    assert [end.item_id for end in step.lost_groups(0.7)] == ["i3"]
+    assert step.lost_groups(2.0) == []
 
 
-def test_the_report_names_the_stage_that_took_the_time() -> None:
+def test_the_report_names_the_main_stage() -> None:
     text = report(LINES, 0.7)
     assert "lost 1 of 2 groups" in text
     assert "1  scoring" in text
 
 
-def test_an_item_left_is_never_listed_and_a_later_owner_knows_better() -> None:
+def test_an_item_left_unfinished_counts_as_never_listed_until_a_later_owner_lists_it() -> None:
     lines = [TAKEN.replace("num_wanted_groups=2", "num_wanted_groups=4"), *LINES[1:]]
     assert "1  running, never listed" in report(lines, 0.7)
     assert "never listed" not in report([*lines, listed("i5", "g4", 7.0, running=6.0)], 0.7)
 
 
-def test_the_command_reads_files_and_names_what_it_cannot_read(
+def test_the_command_reads_files_and_exits_with_2_if_it_cannot(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "node.log"
