--- a/src/worksramp/logs.py
+++ b/src/worksramp/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event, on standard error."""
+"""Set up structured logs: one line of key=value pairs for each event."""
 
 import logging
 import sys
@@ -11,10 +11,12 @@
 
 
 def configure_logs(level: str, writer: LogWriter | None = None, **fixed: str) -> None:
-    """Set up logging for a process; ``fixed`` pairs stand in every line.
+    """Set up logging for the process.
 
     Args:
-        writer: takes the lines; standard error when there is none.
+        level: lowest level that is logged, one of `LEVELS`; an unknown one stands for ``info``.
+        writer: where lines are written, None for standard error.
+        fixed: key=value pairs that are added to every line.
     """
     structlog.configure(
         processors=[
