--- a/src/worksramp/log_writer.py
+++ b/src/worksramp/log_writer.py
@@ -1,7 +1,7 @@
-"""Standard output for logs that never makes the process wait.
+"""Write log lines from a thread, so that a blocked output never blocks the process.
 
-Lines go through a bounded queue to a thread. When nobody reads the output, the oldest lines that do not fit
-are dropped and counted, and the count is said as soon as lines get through again.
+Lines go to the thread through a bounded queue. If the output is not read and the queue is full, the oldest
+lines are dropped. The number of dropped lines is written as soon as the output accepts lines again.
 """
 
 import threading
@@ -9,12 +9,17 @@
 from typing import TextIO
 
 DEFAULT_MAX_LINES = 4000
-MAX_LINES_A_WRITE = 200
+MAX_LINES_PER_WRITE = 200
 FLUSH_SECONDS = 0.5
 
 
 class LogWriter:
-    """File-like object over another one, for a logger that prints whole lines."""
+    """File-like object that writes to another one from a thread, for a logger that prints complete lines.
+
+    Args:
+        target: file that the lines are written to.
+        max_lines: most lines in the queue.
+    """
 
     def __init__(self, target: TextIO, max_lines: int = DEFAULT_MAX_LINES) -> None:
         self._target = target
@@ -28,11 +33,15 @@
 
     @property
     def num_waiting(self) -> int:
-        """Number of lines not yet handed on."""
+        """Number of lines in the queue."""
         return len(self._lines)
 
     def write(self, text: str) -> int:
-        """Take a line; return at once."""
+        """Queue a line without blocking, and drop the oldest one if the queue is full.
+
+        Returns:
+            The number of characters, as files do.
+        """
         with self._condition:
             if len(self._lines) >= self._max_lines:
                 self._lines.popleft()
@@ -42,17 +51,21 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: a logger flushes after each line, which must not wait."""
+        """Do nothing, because a logger flushes after each line and must not block."""
 
     def close(self, timeout_seconds: float = FLUSH_SECONDS) -> None:
-        """Hand on what waits, for at most so long."""
+        """Stop the thread after it has written the queued lines.
+
+        Args:
+            timeout_seconds: longest wait for the thread.
+        """
         with self._condition:
             self._is_closed = True
             self._condition.notify()
         self._thread.join(timeout_seconds)
 
-    def _take(self) -> str:
-        """Wait for lines; return them joined, empty when closed."""
+    def _next_lines(self) -> str:
+        """Wait for lines and return up to `MAX_LINES_PER_WRITE` of them as one text, empty once closed."""
         with self._condition:
             while not self._lines and not self._is_closed:
                 self._condition.wait()
@@ -60,15 +73,15 @@
             if self._num_dropped:
                 lines.append(f"level=warning event=log_lines_dropped num_dropped={self._num_dropped}\n")
                 self._num_dropped = 0
-            while self._lines and len(lines) < MAX_LINES_A_WRITE:
+            while self._lines and len(lines) < MAX_LINES_PER_WRITE:
                 lines.append(self._lines.popleft())
         return "".join(lines)
 
     def _run(self) -> None:
-        while text := self._take():
+        while text := self._next_lines():
             try:
                 self._target.write(text)
                 self._target.flush()
             except (OSError, ValueError):
-                # Nobody will ever read the output: the process goes on without it.
+                # The output is closed for good. The process continues without logs.
                 return
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Logs never make the process wait, and say what they had to drop."""
+"""The log writer never blocks the process, and reports the number of dropped lines."""
 
 import io
 import threading
@@ -6,21 +6,21 @@
 from worksramp.log_writer import LogWriter
 
 
-class StoppedReader(io.StringIO):
-    """A target that takes nothing until it is let go."""
+class BlockedTarget(io.StringIO):
+    """Target whose writes block until `unblocked` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.entered = threading.Event()
-        self.may_go = threading.Event()
+        self.unblocked = threading.Event()
 
     def write(self, text: str) -> int:
         self.entered.set()
-        self.may_go.wait()
+        self.unblocked.wait()
         return super().write(text)
 
 
-def test_lines_come_out_whole_and_in_order() -> None:
+def test_lines_are_written_complete_and_in_order() -> None:
     target = io.StringIO()
     writer = LogWriter(target)
     for number in range(1000):
@@ -29,16 +29,16 @@
     assert target.getvalue() == "".join(f"line={number}\n" for number in range(1000))
 
 
-def test_a_stopped_reader_delays_nobody_and_the_queue_stays_bounded() -> None:
-    target = StoppedReader()
+def test_a_blocked_target_does_not_block_the_writer_and_the_queue_stays_bounded() -> None:
+    target = BlockedTarget()
     writer = LogWriter(target, max_lines=10)
     writer.write("first\n")
     target.entered.wait()
-    # Each of these returns although the thread is stuck in the write above.
+    # Each of these returns although the thread is blocked in the write above.
     for number in range(1000):
         writer.write(f"line={number}\n")
     assert writer.num_waiting == 10
-    target.may_go.set()
+    target.unblocked.set()
     writer.close(10)
     lines = target.getvalue().splitlines()
     assert lines[0] == "first"
@@ -46,7 +46,7 @@
     assert lines[2:] == [f"line={number}" for number in range(990, 1000)]
 
 
-def test_a_target_that_is_gone_ends_nothing() -> None:
+def test_a_closed_target_raises_no_error() -> None:
     target = io.StringIO()
     target.close()
     writer = LogWriter(target)
