--- a/src/worksramp/log_writer.py
+++ b/src/worksramp/log_writer.py
@@ -83,5 +83,5 @@
                 self._target.write(text)
                 self._target.flush()
             except (OSError, ValueError):
-                # The output is closed for good. The process continues without logs.
+                # The output cannot be written any more. The process continues without logs.
                 return
