--- a/src/worksramp/settings.py
+++ b/src/worksramp/settings.py
@@ -1,6 +1,7 @@
-"""Settings of one node: a TOML file decoded into checked structs, with flags over it.
+"""Read the settings of a node from a TOML file and flags, and check them.
 
-A wrong key, type, address or unit stops the start with the file, the path in it and the reason.
+A wrong key, type, address or value stops the node at its start, with an error that names the file, the path
+in it and the reason.
 """
 
 import math
@@ -17,20 +18,20 @@
 from worksramp.settings_error import SettingsError
 
 SHA256_PATTERN = re.compile(r"^[0-9a-f]{64}$")
-#: Each shard has a stream of its own in the log.
+#: Bounded because each shard has its own stream in the log.
 MAX_LEDGER_SHARDS = 4096
 ZONE_PATTERN = re.compile(r"^[a-z0-9][a-z0-9-]{0,62}$")
 
 
 class Role(StrEnum):
-    """What a node does."""
+    """Role of a node."""
 
     GATEWAY = "gateway"
     COORDINATOR = "coordinator"
 
 
 class KeyRole(StrEnum):
-    """What the holder of an API key may do."""
+    """Role of the holder of an API key, which decides what calls are allowed."""
 
     CALLER = "caller"
     TRAINER = "trainer"
@@ -38,9 +39,11 @@
 
 
 class ApiKey(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One bearer key, kept as a digest.
+    """One bearer key, stored as a digest.
 
     Attributes:
+        tenant: tenant that the key belongs to.
+        role: role of the key's holder.
         sha256: lower-case hexadecimal SHA-256 of the key.
     """
 
@@ -58,16 +61,21 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything one node is told.
+    """All settings of one node.
 
     Attributes:
         node_id: name of the machine; the process adds a random part at each start.
+        zone: zone of the node.
         listen: ``ip:port`` of the HTTP API.
         peer_listen: ``ip:port`` for other nodes, TCP and UDP.
-        num_ledger_shards: slices of the ledger; the same on all nodes, for good.
+        platform: addresses of the platform's services.
+        roles: roles of the node.
+        keys: API keys that the node accepts.
+        num_ledger_shards: shards of the ledger; must be the same on all nodes and never change.
         subset_size: workers of each group that this node uses.
         drain_seconds: longest wait for requests in flight at a planned stop.
-        default_deadline_seconds: deadline of a request that names none.
+        default_deadline_seconds: deadline of a request that has none of its own.
+        log_level: lowest level that is logged, one of `worksramp.logs.LEVELS`.
     """
 
     node_id: str
@@ -85,10 +93,14 @@
 
 
 def load_settings(file: str, overrides: dict[str, str] | None = None) -> NodeSettings:
-    """Read a settings file, put flags over it, and check it.
+    """Read a settings file, apply overrides, and check the result.
+
+    Args:
+        file: path of the TOML file.
+        overrides: values of top-level fields that replace those in the file.
 
     Raises:
-        SettingsError: it cannot be used; nothing was started.
+        SettingsError: the settings cannot be used; nothing was started.
     """
     try:
         raw = tomllib.loads(Path(file).read_text(encoding="utf-8"))
@@ -102,11 +114,11 @@
     except msgspec.ValidationError as error:
         reason, _, path = str(error).partition(" - at `$.")
         raise SettingsError(file, path.rstrip("`") or "(top)", reason) from error
-    _check(file, settings)
+    _check_settings(file, settings)
     return settings
 
 
-def _check(file: str, settings: NodeSettings) -> None:
+def _check_settings(file: str, settings: NodeSettings) -> None:
     addresses = {
         "listen": settings.listen,
         "peer_listen": settings.peer_listen,
@@ -133,11 +145,11 @@
     if settings.log_level not in LEVELS:
         raise SettingsError(file, "log_level", f"must be one of {', '.join(LEVELS)}")
     if not ZONE_PATTERN.match(settings.zone):
-        raise SettingsError(file, "zone", f"{settings.zone!r} has other characters than a-z, 0-9 and -")
+        raise SettingsError(file, "zone", f"{settings.zone!r} is not up to 63 characters of a-z, 0-9 and -")
     if not settings.roles:
-        raise SettingsError(file, "roles", "at least one role is needed")
+        raise SettingsError(file, "roles", "must have at least one role")
     if len(set(settings.roles)) < len(settings.roles):
-        raise SettingsError(file, "roles", "a role stands twice")
+        raise SettingsError(file, "roles", "must not list a role twice")
 
 
 def _check_positive(file: str, settings: NodeSettings) -> None:
