--- a/src/worksramp/settings_error.py
+++ b/src/worksramp/settings_error.py
@@ -1,12 +1,13 @@
-"""Error of unusable settings, shared by all kinds of settings files."""
+"""Error for settings that cannot be used, shared by the readers of all settings files."""
 
 
 class SettingsError(Exception):
     """The settings cannot be used.
 
     Attributes:
-        file: the settings file.
-        path: path of the field in the file.
+        file: path of the settings file.
+        path: path of the field in the file, for example ``store.address``.
+        reason: what is wrong with the field, in one line.
     """
 
     def __init__(self, file: str, path: str, reason: str) -> None:
