--- a/src/worksramp/wire.py
+++ b/src/worksramp/wire.py
@@ -1,4 +1,4 @@
-"""Encoding of the records and messages that nodes keep and exchange: msgpack of msgspec structs."""
+"""Encode and decode the records that nodes store in the shared log: msgpack of msgspec structs."""
 
 from typing import Any, TypeVar
 
@@ -10,14 +10,18 @@
 
 
 def encode(value: Any) -> bytes:
-    """Return the bytes of a struct."""
+    """Return the msgpack bytes of a struct."""
     return _encoder.encode(value)
 
 
-def decode(data: bytes, kind: type[StructT]) -> StructT:
+def decode(data: bytes, struct_type: type[StructT]) -> StructT:
     """Return the struct in ``data``.
 
+    Args:
+        data: msgpack bytes.
+        struct_type: type of the struct.
+
     Raises:
-        msgspec.DecodeError: the bytes are damaged or of another kind.
+        msgspec.DecodeError: the bytes are damaged or those of another type.
     """
-    return msgspec.msgpack.decode(data, type=kind)
+    return msgspec.msgpack.decode(data, type=struct_type)
