--- a/src/worksramp/cli.py
+++ b/src/worksramp/cli.py
@@ -1,7 +1,7 @@
-"""Command line of worksramp.
+"""Command line interface of worksramp.
 
-Exit codes: 0 done, 1 refused by the service, 2 unusable settings or arguments, 3 the service cannot be
-reached.
+Exit codes: 0 for success, 1 if the service refused the request, 2 for unusable settings or arguments, 3 if
+the service cannot be reached.
 """
 
 import sys
@@ -27,13 +27,13 @@
 FIRST_ERROR_STATUS = 400
 
 
-def _fail(code: int, message: str) -> None:
+def _exit_with(code: int, message: str) -> None:
     print(message, file=sys.stderr)
     raise SystemExit(code)
 
 
 class _Api:
-    """One node's operators' API."""
+    """Client of the HTTP API of one node."""
 
     def __init__(self, node: str, key: str) -> None:
         self._node = node
@@ -46,10 +46,10 @@
                 method, url, content=content, headers=self._headers, timeout=REQUEST_TIMEOUT_SECONDS
             )
         except httpx.HTTPError as error:
-            _fail(EXIT_UNREACHABLE, f"step=cli.request peer={self._node} reason={error!r}")
+            _exit_with(EXIT_UNREACHABLE, f"step=cli.request peer={self._node} reason={error!r}")
             raise
         if response.status_code >= FIRST_ERROR_STATUS:
-            _fail(EXIT_REFUSED, response.text)
+            _exit_with(EXIT_REFUSED, response.text)
         return response.content
 
 
@@ -57,11 +57,16 @@
     """Read and publish configuration."""
 
     def show(self, node: str, key: str) -> None:
-        """Print what is in force, for example ``worksramp config show --node 127.0.0.1:8101 --key K``."""
+        """Print the configuration in force.
+
+        Example: ``worksramp config show --node 127.0.0.1:8101 --key K``
+        """
         print(_Api(node, key).request("GET", "/v1/configuration").decode())
 
     def publish(self, node: str, key: str, file: str, expected_revision: int, change_id: str = "") -> None:
-        """Publish a TOML document; repeat with the same change id when the outcome was unknown.
+        """Publish a TOML document as the configuration.
+
+        If the outcome of a call is unknown, repeat it with the same change id.
 
         Example: ``worksramp config publish --node 127.0.0.1:8101 --key K --file litoral.toml
         --expected_revision 0``
@@ -69,7 +74,7 @@
         try:
             document = tomllib.loads(Path(file).read_text(encoding="utf-8"))
         except (OSError, tomllib.TOMLDecodeError) as error:
-            _fail(EXIT_USAGE, f"{file}: {error}")
+            _exit_with(EXIT_USAGE, f"{file}: {error}")
             raise
         change = {
             "change_id": change_id or uuid.uuid4().hex,
@@ -80,20 +85,23 @@
 
 
 class JobCommands:
-    """Jobs and their prompts."""
+    """Store prompts and show jobs."""
 
     def prompts(self, node: str, key: str, file: str) -> None:
-        """Store a prompt file, one prompt a line, and print the name of the set."""
+        """Store the prompts of a file, one per line, and print the name of the prompt set."""
         try:
             lines = Path(file).read_text(encoding="utf-8").splitlines()
         except OSError as error:
-            _fail(EXIT_USAGE, f"{file}: {error}")
+            _exit_with(EXIT_USAGE, f"{file}: {error}")
             raise
         body = msgspec.json.encode({"prompts": [line for line in lines if line]})
         print(_Api(node, key).request("POST", "/v1/prompts", body).decode())
 
     def show(self, node: str, key: str, job: str) -> None:
-        """Print a job's state, for example ``worksramp job show --node 127.0.0.1:8101 --key K --job J``."""
+        """Print the state of a job.
+
+        Example: ``worksramp job show --node 127.0.0.1:8101 --key K --job J``
+        """
         print(_Api(node, key).request("GET", f"/v1/jobs/{job}").decode())
 
 
@@ -105,42 +113,44 @@
         self.job = JobCommands()
 
     def node(self, settings: str, **overrides: str) -> None:
-        """Run a node, for example ``worksramp node --settings node.toml --log_level debug``.
+        """Run a node.
+
+        A flag with the name of a top-level setting overrides the setting.
 
-        Any top-level setting may be overridden by a flag of its name.
+        Example: ``worksramp node --settings node.toml --log_level debug``
         """
         try:
             checked = load_settings(settings, overrides)
         except SettingsError as error:
-            _fail(EXIT_USAGE, str(error))
+            _exit_with(EXIT_USAGE, str(error))
             raise
         for field in ("listen", "peer_listen"):
             reason = reason_cannot_listen(getattr(checked, field))
             if reason is not None:
-                _fail(EXIT_USAGE, f"{settings}: {field}: {reason}")
+                _exit_with(EXIT_USAGE, f"{settings}: {field}: {reason}")
         anyio.run(run_node, checked)
 
     def status(self, node: str, key: str) -> None:
-        """Print a node's state: members, shards it serves, requests in flight."""
+        """Print the state of a node: members, shards that it serves, requests in flight."""
         print(_Api(node, key).request("GET", "/v1/status").decode())
 
     def steps(self, *files: str, grace_s: float = 0.0) -> None:
-        """Print from nodes' log files which groups of which steps were late, and in which stage.
+        """Print which groups of which steps were late and in which stage, from the log files of nodes.
 
         Example: ``worksramp steps node-1.log node-2.log --grace_s 0.7``
         """
         if not files:
-            _fail(EXIT_USAGE, "files: name at least one log file")
+            _exit_with(EXIT_USAGE, "files: name at least one log file")
         lines: list[str] = []
         for file in files:
             try:
                 lines += Path(str(file)).read_text(encoding="utf-8", errors="replace").splitlines()
             except OSError as error:
-                _fail(EXIT_USAGE, f"{file}: {error}")
+                _exit_with(EXIT_USAGE, f"{file}: {error}")
         print(report(lines, grace_s))
 
     def drain(self, node: str, key: str) -> None:
-        """Tell a node to leave in order."""
+        """Make a node drain and stop: hand over its shards and finish the requests in flight."""
         print(_Api(node, key).request("POST", "/v1/drain").decode())
 
 
