--- a/tests/unit/test_edge_settings.py
+++ b/tests/unit/test_edge_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an edge node that cannot be used stop the start with file, path and reason."""
+"""Edge settings: errors name file, path and reason, and a reload keeps the old settings on an error."""
 
 import socket
 from pathlib import Path
@@ -28,7 +28,7 @@
     return str(file)
 
 
-def test_a_good_file_loads_and_fields_of_newer_files_are_passed_over(tmp_path: Path) -> None:
+def test_a_good_file_loads_and_unknown_fields_are_ignored(tmp_path: Path) -> None:
     settings = load_edge_settings(
         write(tmp_path, GOOD.replace("[bounds]", "[new]\nx = 1\n[bounds]\nnewer = 2"))
     )
@@ -64,14 +64,14 @@
     assert (caught.value.file, caught.value.path) == (file, path)
 
 
-def test_a_file_that_is_no_text_is_named(tmp_path: Path) -> None:
+def test_a_file_that_is_not_utf_8_raises_a_settings_error(tmp_path: Path) -> None:
     file = tmp_path / "edge.toml"
     file.write_bytes(b"\xff\xfe\x00")
     with pytest.raises(SettingsError, match="cannot be read"):
         load_edge_settings(str(file))
 
 
-def test_a_port_that_is_taken_is_named_in_one_line(tmp_path: Path) -> None:
+def test_a_port_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -83,16 +83,16 @@
     assert "\n" not in str(caught.value)
 
 
-class _Node:
-    """Stands for a node, of which a reload touches the settings alone."""
+class _StubNode:
+    """Stub of a node: a reload uses its settings only."""
 
     def __init__(self, file: str) -> None:
         self.settings = load_edge_settings(file)
 
 
-def test_a_reload_takes_new_bounds_and_leaves_what_needs_a_start(tmp_path: Path) -> None:
+def test_a_reload_applies_new_bounds_and_keeps_settings_that_need_a_restart(tmp_path: Path) -> None:
     file = write(tmp_path, GOOD)
-    node = _Node(file)
+    node = _StubNode(file)
     write(tmp_path, GOOD.replace("grace = 8", "grace = 5").replace('zone = "a"', 'zone = "b"'))
     reload_settings(node, lambda: load_edge_settings(file))  # type: ignore[arg-type]
     assert (node.settings.bounds.grace, node.settings.zone) == (5, "a")
@@ -100,7 +100,7 @@
 
 def test_a_damaged_file_leaves_the_old_settings_in_force(tmp_path: Path) -> None:
     file = write(tmp_path, GOOD)
-    node = _Node(file)
+    node = _StubNode(file)
     write(tmp_path, GOOD.replace("grace = 8", "grace = -1"))
     reload_settings(node, lambda: load_edge_settings(file))  # type: ignore[arg-type]
     assert node.settings.bounds.grace == 8
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""A settings file that cannot be used stops the start with file, path and reason."""
+"""A settings file that cannot be used raises an error with file, path and reason."""
 
 from pathlib import Path
 
@@ -59,6 +59,6 @@
     assert (caught.value.file, caught.value.path) == (file, path)
 
 
-def test_a_missing_file_is_named(tmp_path: Path) -> None:
+def test_a_missing_file_raises_a_settings_error(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="cannot be read"):
         load_settings(str(tmp_path / "none.toml"))
