--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -13,8 +13,8 @@
 DROP_TICK_SECONDS = 0.1
 #: An entry that is removed this soon after an outage of the store is taken to have expired because of it.
 OUTAGE_GRACE_SECONDS = 1.0
-#: Workers write entries that expired in an outage of the store again within this time after it, as the users
-#: state. Entries that are still missing then are those of workers that are gone.
+#: According to the users, workers write their expired entries again within this time after an outage of the
+#: store. Workers whose entries are still missing then are gone.
 REWRITE_GRACE_S = 2.0
 #: Refused entries whose last fault is kept, so that each fault is logged once and not at each write.
 MAX_LOGGED_FAULTS = 256
@@ -28,7 +28,7 @@
 
     Attributes:
         directory: directory that the changes are applied to.
-        quarantine: notified when a worker's process is gone or has restarted.
+        quarantine: notified when a worker is gone or has restarted.
         regained_age: returns seconds since the store answered again after an outage.
         on_refused: called with the fault of each entry that cannot be used.
         on_change: called after each change.
