--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -55,7 +55,7 @@
 def gather_seconds(bounds: EdgeBounds) -> float:
     """Return the pause after a read of the batches with new records, in seconds.
 
-    With many nodes, the number of reads is what they cost the store.
+    With many nodes, reads are their main cost to the store.
     """
     return 0.2 * bounds.settle
 
@@ -66,7 +66,7 @@
         expiry=0.4 * bounds.lease,
         renewal=0.1 * bounds.lease,
         order_validity=0.3 * bounds.lease,
-        # An order is given at most the validity of a renewal after its announcement.
+        # An order follows its announcement within the validity of a renewal.
         order_guard=(1.1 + 0.3) * bounds.lease,
         max_replica_age=poll_seconds(bounds) + gather_seconds(bounds) + 0.1 * bounds.lease,
         after_outage=0.25 * bounds.lease,
