--- a/src/worksramp/coordination/configuration_service.py
+++ b/src/worksramp/coordination/configuration_service.py
@@ -112,12 +112,12 @@
                         await self.wait_changed()
         return self.fold.verdict_of(change.change_id)
 
-    def take_push(self, push: PushConfiguration) -> NodeReply:
+    def handle_push(self, push: PushConfiguration) -> NodeReply:
         """Hold records that a peer sent."""
         self._hold(push.start, push.records)
         return ConfigurationHeld(self.held_offset)
 
-    def answer_pull(self, pull: PullConfiguration) -> NodeReply:
+    def handle_pull(self, pull: PullConfiguration) -> NodeReply:
         """Return the records that a peer lacks, with a snapshot if they begin before what is kept."""
         if pull.start >= self._staged.start:
             return ConfigurationRecords(pull.start, self._staged.since(pull.start), b"", self.is_ready)
--- a/src/worksramp/coordination/elapsed.py
+++ b/src/worksramp/coordination/elapsed.py
@@ -13,7 +13,7 @@
 ElapsedClock = Callable[[], float]
 
 
-def steady_s() -> float:
+def monotonic_s() -> float:
     """Return the steady clock: right where nothing is suspended, as in a simulation."""
     return anyio.current_time()
 
--- a/src/worksramp/coordination/fenced_writer.py
+++ b/src/worksramp/coordination/fenced_writer.py
@@ -6,7 +6,7 @@
 import anyio
 import structlog
 
-from worksramp.coordination.elapsed import ElapsedClock, steady_s
+from worksramp.coordination.elapsed import ElapsedClock, monotonic_s
 from worksramp.coordination.log_lease import OWNER_KEY, OWNER_PRODUCER, OwnerRecord
 from worksramp.coordination.shared_log import (
     Appended,
@@ -50,7 +50,7 @@
         partition: Partition,
         claimed: OwnerRecord,
         renewal_seconds: float,
-        clock: ElapsedClock = steady_s,
+        clock: ElapsedClock = monotonic_s,
     ) -> None:
         self._log = log
         self._partition = partition
--- a/src/worksramp/coordination/keyed_replica.py
+++ b/src/worksramp/coordination/keyed_replica.py
@@ -12,7 +12,7 @@
 import anyio
 import structlog
 
-from worksramp.coordination.elapsed import ElapsedClock, steady_s
+from worksramp.coordination.elapsed import ElapsedClock, monotonic_s
 from worksramp.coordination.shared_log import (
     LogUnavailableError,
     Partition,
@@ -63,7 +63,7 @@
         poll_seconds: float,
         on_change: ChangeHandler,
         gather_seconds: float = 0.0,
-        clock: ElapsedClock = steady_s,
+        clock: ElapsedClock = monotonic_s,
     ) -> None:
         self._log = log
         self._partition = partition
@@ -91,7 +91,7 @@
         """Return seconds since the start of the last poll that found nothing missing."""
         return self._clock() - self._confirmed_at
 
-    def regained_age(self) -> float:
+    def store_recovery_age(self) -> float:
         """Return seconds since the store answered again after an outage, as this node saw it."""
         return anyio.current_time() - self.regained_at
 
--- a/src/worksramp/coordination/ledger_service.py
+++ b/src/worksramp/coordination/ledger_service.py
@@ -207,7 +207,7 @@
     async def _record(self, closing: Closing) -> None:
         """Record how a request ended; without ownership the next owner holds it as unknown."""
         try:
-            await self._replica.commit(encode_entry(closing), is_patient=True)
+            await self._replica.commit(encode_entry(closing), should_wait_for_log=True)
         except StepError:
             return
 
--- a/src/worksramp/coordination/log_lease.py
+++ b/src/worksramp/coordination/log_lease.py
@@ -57,7 +57,7 @@
         order_validity: the owner orders workers only while its last renewal is younger than this.
         order_guard: a new owner orders no worker sooner than this after a former owner's last announcement.
         max_replica_age: a claimant's copy must have been confirmed this recently.
-        after_outage: time that an owner has to renew once the store answers again.
+        outage_grace: time that an owner has to renew once the store answers again.
     """
 
     expiry: float
@@ -65,7 +65,7 @@
     order_validity: float
     order_guard: float
     max_replica_age: float
-    after_outage: float = 0.0
+    outage_grace: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         replica_age: seconds since its copy was confirmed as current.
         may_own: whether this node wants the lease at all.
         jitter: this node's own share of waiting, so that claims seldom race.
-        regained_age: seconds since the store answered this node again.
+        store_recovery_age: seconds since the store answered this node again.
     """
 
     owner: OwnerRecord | None
@@ -88,7 +88,7 @@
     replica_age: float
     may_own: bool
     jitter: float
-    regained_age: float = float("inf")
+    store_recovery_age: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveLease:
+class DeferClaim:
     """Do not claim now.
 
     Attributes:
@@ -121,25 +121,25 @@
     return (least, least + CLAIM_SPREAD_SECONDS)
 
 
-def decide_claim(view: LeaseView, times: LeaseTimes, now: float) -> ClaimLease | LeaveLease:
+def decide_claim(view: LeaseView, times: LeaseTimes, now: float) -> ClaimLease | DeferClaim:
     """Decide whether a node that does not own the shard claims it."""
     if not view.may_own:
-        return LeaveLease("not_wanted")
+        return DeferClaim("not_wanted")
     if view.replica_age > times.max_replica_age:
         # Without a fresh copy, silence may be the store's and not the owner's.
-        return LeaveLease("copy_not_fresh")
+        return DeferClaim("copy_not_fresh")
     if view.owner is None:
         waited = now - view.owner_changed_at
-        return ClaimLease(1) if waited >= view.jitter else LeaveLease("jitter")
+        return ClaimLease(1) if waited >= view.jitter else DeferClaim("jitter")
     if view.is_own_machine:
         # One process at a time runs on a machine: the one that wrote this has ended.
         return ClaimLease(view.owner.epoch + 1)
-    if not view.owner.is_released and view.regained_age < times.after_outage + view.jitter:
+    if not view.owner.is_released and view.store_recovery_age < times.outage_grace + view.jitter:
         # While the store was away nobody could renew: the silence says nothing of the owner yet.
-        return LeaveLease("store_regained")
+        return DeferClaim("store_regained")
     due = view.jitter if view.owner.is_released else times.expiry + view.jitter
     if now - view.owner_changed_at < due:
-        return LeaveLease("owner_renews")
+        return DeferClaim("owner_renews")
     return ClaimLease(view.owner.epoch + 1)
 
 
--- a/src/worksramp/coordination/replica.py
+++ b/src/worksramp/coordination/replica.py
@@ -142,7 +142,7 @@
                 await self.wait_until(lambda: not self.is_owner)
 
     async def commit(
-        self, entry: bytes, timeout_seconds: float | None = None, is_patient: bool = False
+        self, entry: bytes, timeout_seconds: float | None = None, should_wait_for_log: bool = False
     ) -> Verdict | Unresolved:
         """Commit one entry and return its verdict once it has been read back.
 
@@ -151,7 +151,7 @@
         Args:
             entry: the encoded entry.
             timeout_seconds: how long to wait; None waits until the verdict is known.
-            is_patient: whether to wait for a log that does not answer, rather than refuse at once.
+            should_wait_for_log: whether to wait for a log that does not answer, rather than refuse at once.
 
         Returns:
             `Unresolved` if time ran out after the entry was sent; its ``wait`` gives the verdict later.
@@ -160,7 +160,7 @@
             NotStartedError: the entry was certainly not appended: this instance is not the owner, the
                 log does not answer, too many entries wait, or time ran out before it was sent.
         """
-        reason = self._reason_to_refuse(is_patient)
+        reason = self._reason_to_refuse(should_wait_for_log)
         if reason is not None:
             raise NotStartedError("log.commit", self.stream, reason)
         pending = _Pending(entry)
@@ -178,10 +178,10 @@
             raise NotStartedError("log.commit", self.stream, "the log is too slow")
         return Unresolved(pending.wait)
 
-    def _reason_to_refuse(self, is_patient: bool) -> str | None:
+    def _reason_to_refuse(self, should_wait_for_log: bool) -> str | None:
         if not self.is_owner:
             return "not the owner"
-        if not self.is_log_reachable and not is_patient:
+        if not self.is_log_reachable and not should_wait_for_log:
             return "the log does not answer"
         if len(self._queue) >= MAX_PENDING_ENTRIES:
             return "too many entries wait for the log"
--- a/src/worksramp/coordination/value_store.py
+++ b/src/worksramp/coordination/value_store.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ValuePlace:
+class ValueLocation:
     """Where a value was written.
 
     Attributes:
@@ -63,11 +63,11 @@
     """Some record is not known to be in.
 
     Attributes:
-        may_be_in: some call had no answer.
+        may_be_stored: some call had no answer.
     """
 
     reason: str
-    may_be_in: bool
+    may_be_stored: bool
 
 
 class ValuesUnavailableError(Exception):
@@ -108,7 +108,7 @@
     deadline = anyio.current_time() + timeout_s
     pause_s = RETRY_PAUSE_S
     try_s = FIRST_TRY_S
-    may_be_in = False
+    may_be_stored = False
     while True:
         outcome: AppendOutcome = OutcomeOpen(f"no answer within {try_s} s")
         with anyio.move_on_after(try_s):
@@ -116,10 +116,10 @@
         try_s *= 2
         if isinstance(outcome, Appended):
             return outcome
-        may_be_in = may_be_in or isinstance(outcome, OutcomeOpen)
+        may_be_stored = may_be_stored or isinstance(outcome, OutcomeOpen)
         reason = outcome.reason if isinstance(outcome, (NothingDone, OutcomeOpen)) else str(outcome)
         if anyio.current_time() + pause_s >= deadline:
-            return NotStored(reason, may_be_in)
+            return NotStored(reason, may_be_stored)
         await anyio.sleep(pause_s * random.uniform(0.5, 1.0))
         pause_s = min(2 * pause_s, MAX_RETRY_PAUSE_S)
 
@@ -150,7 +150,7 @@
             offsets += range(outcome.offset, outcome.offset + len(call))
         return Stored(tuple(offsets))
 
-    async def fetch(self, group: str, places: Sequence[ValuePlace]) -> dict[str, bytes]:
+    async def fetch(self, group: str, places: Sequence[ValueLocation]) -> dict[str, bytes]:
         """Read values that are known to have been written.
 
         Returns:
@@ -172,7 +172,7 @@
         return found
 
     async def _fetch_by_offset(
-        self, partition: Partition, missing: dict[str, ValuePlace]
+        self, partition: Partition, missing: dict[str, ValueLocation]
     ) -> dict[str, bytes]:
         found: dict[str, bytes] = {}
         start = 0
@@ -190,7 +190,9 @@
             start = answer.records[-1].offset + 1
         return found
 
-    async def _fetch_by_key(self, partition: Partition, missing: dict[str, ValuePlace]) -> dict[str, bytes]:
+    async def _fetch_by_key(
+        self, partition: Partition, missing: dict[str, ValueLocation]
+    ) -> dict[str, bytes]:
         found: dict[str, bytes] = {}
         for key in sorted(missing):
             if key not in missing:
@@ -202,7 +204,7 @@
                     found[record.key] = record.value
         return found
 
-    async def newest_of(self, group: str) -> dict[str, bytes]:
+    async def newest_values(self, group: str) -> dict[str, bytes]:
         """Read the newest value of each key in a group's partition.
 
         Raises:
--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -10,7 +10,7 @@
 import anyio
 import structlog
 
-from worksramp.coordination.elapsed import ElapsedClock, steady_s
+from worksramp.coordination.elapsed import ElapsedClock, monotonic_s
 from worksramp.coordination.keyed_replica import Change, KeyedReplica
 from worksramp.coordination.log_lease import LeaseTimes
 from worksramp.coordination.shared_log import SharedLog
@@ -63,7 +63,7 @@
         # An order follows its announcement by no more than the validity of a renewal.
         order_guard=(1.1 + 0.3) * bounds.lease,
         max_replica_age=poll_seconds(bounds) + gather_seconds(bounds) + 0.1 * bounds.lease,
-        after_outage=0.25 * bounds.lease,
+        outage_grace=0.25 * bounds.lease,
     )
 
 
@@ -86,7 +86,7 @@
     port: WorkerPort
     records: PlatformRecords
     time_of_day: Callable[[], float] = time.time
-    clock: ElapsedClock = steady_s
+    clock: ElapsedClock = monotonic_s
     table: TableSource = field(default_factory=TableSource)
     metrics: NodeMetrics = field(default_factory=NodeMetrics)
     directory: WorkerDirectory = field(default_factory=WorkerDirectory)
@@ -133,7 +133,7 @@
         self._entries = WorkerEntries(
             self.directory,
             self.quarantine,
-            self._workers.regained_age,
+            self._workers.store_recovery_age,
             on_refused=lambda fault: self.metrics.entries_refused.labels(fault.value).inc(),
             on_change=lambda: self.shard.wake(),
         )
--- a/src/worksramp/edge/shard.py
+++ b/src/worksramp/edge/shard.py
@@ -10,7 +10,7 @@
 import msgspec
 import structlog
 
-from worksramp.coordination.elapsed import ElapsedClock, steady_s
+from worksramp.coordination.elapsed import ElapsedClock, monotonic_s
 from worksramp.coordination.fenced_writer import FencedWriter, OwnershipLostError
 from worksramp.coordination.keyed_replica import Change, KeyedReplica, NotCurrentError
 from worksramp.coordination.log_lease import (
@@ -89,7 +89,7 @@
     quarantine: Quarantine
     metrics: NodeMetrics
     time_of_day: Callable[[], float] = time.time
-    clock: ElapsedClock = steady_s
+    clock: ElapsedClock = monotonic_s
 
 
 @dataclass(slots=True)
@@ -210,7 +210,7 @@
             replica_age=self.replica.confirmed_age(),
             may_own=self.context.may_own() and not self._is_stopping,
             jitter=self._jitter,
-            regained_age=self.replica.regained_age(),
+            store_recovery_age=self.replica.store_recovery_age(),
         )
 
     async def _claim_and_own(self, epoch: int) -> None:
--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -26,14 +26,14 @@
     """Keeps the directory of workers true to their entries.
 
     Attributes:
-        regained_age: seconds since the store answered again after an outage.
+        store_recovery_age: seconds since the store answered again after an outage.
         on_refused: told of each entry that names no worker.
         on_change: told of each change.
     """
 
     directory: WorkerDirectory
     quarantine: Quarantine
-    regained_age: Callable[[], float]
+    store_recovery_age: Callable[[], float]
     on_refused: Callable[[RecordFault], None]
     on_change: Callable[[], None]
     _faults: dict[str, RecordFault] = field(default_factory=dict)
@@ -53,7 +53,7 @@
         """Drop workers whose entries went with the store and did not come back, until cancelled."""
         while True:
             await anyio.sleep(DROP_TICK_SECONDS)
-            if self.regained_age() < LAPSED_ENTRY_S:
+            if self.store_recovery_age() < LAPSED_ENTRY_S:
                 continue
             for worker_id in self.directory.missing_since(anyio.current_time()):
                 logger.info("worker_dropped", worker=worker_id)
@@ -105,7 +105,7 @@
         Entries run out while the store is away, since nobody can write them; sound workers write them again
         within about two seconds, and those of others are gone for good.
         """
-        was_outage = self.regained_age() < AFTER_OUTAGE_SECONDS
+        was_outage = self.store_recovery_age() < AFTER_OUTAGE_SECONDS
         self._faults.pop(worker_id, None)
         logger.info("worker_gone", worker=worker_id, is_kept=was_outage)
         if was_outage:
--- a/src/worksramp/node/node.py
+++ b/src/worksramp/node/node.py
@@ -189,9 +189,9 @@
         """Answer one request, from this node or another."""
         match request:
             case PushConfiguration():
-                return self.configuration.take_push(request)
+                return self.configuration.handle_push(request)
             case PullConfiguration():
-                return self.configuration.answer_pull(request)
+                return self.configuration.handle_pull(request)
             case CheckSample():
                 return SampleChecked(request.request_id in self._running_samples)
             case RunSample():
--- a/src/worksramp/rollout/batch_service.py
+++ b/src/worksramp/rollout/batch_service.py
@@ -226,6 +226,6 @@
         )
         if not isinstance(outcome, NotStored):
             return Accepted()
-        if outcome.may_be_in:
+        if outcome.may_be_stored:
             return Undecided(outcome.reason)
         return Refused(outcome.reason, retry_after_seconds)
--- a/src/worksramp/rollout/batch_values.py
+++ b/src/worksramp/rollout/batch_values.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from worksramp.coordination.shared_log import KeyedRecord
-from worksramp.coordination.value_store import NotStored, ValuePlace, ValueStore
+from worksramp.coordination.value_store import NotStored, ValueLocation, ValueStore
 from worksramp.rollout.batches import Batch, BatchHeader, BatchItem, BatchResult, ResultRecord
 from worksramp.wire import decode, encode
 
@@ -66,7 +66,7 @@
         """
         keys = {index: item_key(header.batch_id, index) for index in indices}
         places = [
-            ValuePlace(key, header.item_offsets[index], header.item_sizes_b[index])
+            ValueLocation(key, header.item_offsets[index], header.item_sizes_b[index])
             for index, key in keys.items()
         ]
         found = await self.store.fetch(header.batch_id, places)
@@ -107,8 +107,8 @@
     return [KeyedRecord(key, b"") for key in keys]
 
 
-def _text_places(batch_id: str, position: int, record: ResultRecord) -> list[ValuePlace]:
+def _text_places(batch_id: str, position: int, record: ResultRecord) -> list[ValueLocation]:
     return [
-        ValuePlace(text_key(batch_id, position, record.epoch, part), offset, size_b)
+        ValueLocation(text_key(batch_id, position, record.epoch, part), offset, size_b)
         for part, (offset, size_b) in enumerate(zip(record.text_offsets, record.text_sizes_b, strict=True))
     ]
--- a/src/worksramp/rollout/job_service.py
+++ b/src/worksramp/rollout/job_service.py
@@ -197,7 +197,7 @@
         reward = await self._scorers.score(spec.scorer, prompt, "".join(reply.tokens))
         segments = tuple(Segment(part.weight_version, part.start, part.end) for part in reply.segments)
         sample = SampleFinished(index, attempt, prompt, reply.tokens, segments, reward)
-        verdict = await self._replica.commit(encode_entry(sample), is_patient=True)
+        verdict = await self._replica.commit(encode_entry(sample), should_wait_for_log=True)
         if isinstance(verdict, Accepted):
             self._bodies.keep(sample)
 
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -49,7 +49,7 @@
         """Read the texts that former owners left; return once that has succeeded."""
         while True:
             try:
-                values = await self._context.progress.newest_of(GROUP)
+                values = await self._context.progress.newest_values(GROUP)
                 break
             except ValuesUnavailableError as error:
                 logger.warning("texts_not_read", reason=str(error))
--- a/tests/unit/test_batch_decisions.py
+++ b/tests/unit/test_batch_decisions.py
@@ -4,9 +4,9 @@
 
 from worksramp.coordination.log_lease import (
     ClaimLease,
+    DeferClaim,
     LeaseTimes,
     LeaseView,
-    LeaveLease,
     OwnerRecord,
     claim_delay_range,
     decide_claim,
@@ -221,10 +221,10 @@
 
 def test_a_lease_is_claimed_once_its_owner_is_silent_and_the_copy_is_fresh() -> None:
     owner = OwnerRecord("a", "x", 4)
-    assert decide_claim(view(owner), TIMES, 1.3) == LeaveLease("owner_renews")
+    assert decide_claim(view(owner), TIMES, 1.3) == DeferClaim("owner_renews")
     assert decide_claim(view(owner), TIMES, 1.5) == ClaimLease(5)
-    assert decide_claim(view(owner, replica_age=1.0), TIMES, 9.0) == LeaveLease("copy_not_fresh")
-    assert decide_claim(view(owner, may_own=False), TIMES, 9.0) == LeaveLease("not_wanted")
+    assert decide_claim(view(owner, replica_age=1.0), TIMES, 9.0) == DeferClaim("copy_not_fresh")
+    assert decide_claim(view(owner, may_own=False), TIMES, 9.0) == DeferClaim("not_wanted")
     assert decide_claim(view(None), TIMES, 0.3) == ClaimLease(1)
 
 
--- a/tests/unit/test_value_store.py
+++ b/tests/unit/test_value_store.py
@@ -10,7 +10,7 @@
 from worksramp.coordination.value_store import (
     NotStored,
     Stored,
-    ValuePlace,
+    ValueLocation,
     ValueStore,
     ValuesUnavailableError,
     calls_of,
@@ -37,9 +37,11 @@
     return [KeyedRecord(name, name.encode()) for name in names]
 
 
-def places(names: list[str], stored: Stored | NotStored) -> list[ValuePlace]:
+def places(names: list[str], stored: Stored | NotStored) -> list[ValueLocation]:
     assert isinstance(stored, Stored)
-    return [ValuePlace(name, offset, len(name)) for name, offset in zip(names, stored.offsets, strict=True)]
+    return [
+        ValueLocation(name, offset, len(name)) for name, offset in zip(names, stored.offsets, strict=True)
+    ]
 
 
 def test_values_come_back_by_offset_between_those_of_others() -> None:
@@ -69,7 +71,7 @@
     async def work(values: ValueStore, store: LogStore) -> None:
         wanted = places(["g/1"], await values.put("g", records("g/1"), 1.0))
         with pytest.raises(ValuesUnavailableError, match="g/2"):
-            await values.fetch("g", [*wanted, ValuePlace("g/2", 7, 1)])
+            await values.fetch("g", [*wanted, ValueLocation("g/2", 7, 1)])
         store.faults.is_down = True
         with pytest.raises(ValuesUnavailableError):
             await values.fetch("g", wanted)
@@ -82,7 +84,7 @@
     async def work(values: ValueStore, store: LogStore) -> None:
         store.faults.lost_answers = 1.0
         outcome = await values.put("g", records("g/1"), 2.0)
-        assert isinstance(outcome, NotStored) and outcome.may_be_in
+        assert isinstance(outcome, NotStored) and outcome.may_be_stored
         store.faults.lost_answers = 0.0
         store.faults.answer_seconds = 0.5
         assert isinstance(await values.put("g", records("g/2"), 2.0), Stored)
--- a/tests/unit/test_worker_starts.py
+++ b/tests/unit/test_worker_starts.py
@@ -92,7 +92,7 @@
     return WorkerEntries(
         directory,
         Quarantine(UnusedPort(), directory),
-        regained_age=lambda: float("inf"),
+        store_recovery_age=lambda: float("inf"),
         on_refused=seen.append,
         on_change=lambda: None,
     )
