--- a/src/worksramp/coordination/elapsed.py
+++ b/src/worksramp/coordination/elapsed.py
@@ -1,7 +1,8 @@
-"""Clock for the ages of beliefs: it counts the time in which the machine was suspended.
+"""Clocks for the age of leases and of copied data, one of which counts the time spent suspended.
 
-The steady clock, which timers and deadlines run on, stands still while a machine is suspended. A belief that
-was fresh before looks as fresh afterwards on it, although others may have acted for seconds.
+The monotonic clock, which timers and deadlines run on, stops while the machine is suspended. By that clock, a
+copy that was fresh before a suspension looks equally fresh afterwards, although other nodes may have acted
+for seconds.
 """
 
 import time
@@ -9,16 +10,19 @@
 
 import anyio
 
-#: Seconds that only rise, from any origin.
+#: Returns seconds from an arbitrary origin; never decreases.
 ElapsedClock = Callable[[], float]
 
 
 def monotonic_s() -> float:
-    """Return the steady clock: right where nothing is suspended, as in a simulation."""
+    """Return seconds on the event loop's monotonic clock, without the time spent suspended.
+
+    Correct where nothing is suspended, as in a simulation.
+    """
     return anyio.current_time()
 
 
 def elapsed_s() -> float:
-    """Return the steady clock with the time added in which this machine was suspended."""
+    """Return seconds on the event loop's monotonic clock plus the time that this machine was suspended."""
     suspended_s = time.clock_gettime(time.CLOCK_BOOTTIME) - time.clock_gettime(time.CLOCK_MONOTONIC)
     return anyio.current_time() + suspended_s
