--- a/src/worksramp/coordination/shared_log.py
+++ b/src/worksramp/coordination/shared_log.py
@@ -1,7 +1,7 @@
-"""Port to a shared log whose partitions keep the newest record of each key.
+"""Interface to a shared log whose partitions keep the newest record of each key.
 
-The product sees the store that outlives its machines only through this port. Implementations: the adapter of
-a platform, and the emulator's twin in memory.
+The product uses the store that outlives its machines only through this interface. It is implemented by the
+adapter of a platform and, in memory, by the emulator.
 """
 
 from abc import ABC, abstractmethod
@@ -21,8 +21,8 @@
     """One record. An empty value removes its key.
 
     Attributes:
-        key: at most 255 bytes of text.
-        value: at most ``SharedLog.max_record_bytes`` with the key.
+        key: text of at most 255 bytes.
+        value: together with the key at most `LogLimits.max_record_bytes`.
     """
 
     key: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """A record with its place in its partition."""
+    """A record with its offset in its partition."""
 
     offset: int
     key: str
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """Records from the offset asked for.
+    """Records from the requested offset on.
 
     Attributes:
-        end: offset that the next record of the partition will get, when the store answered.
+        end: offset that the next appended record would get, at the time of the store's answer.
     """
 
     records: tuple[StoredRecord, ...]
@@ -52,18 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsGone:
-    """The offset asked for is older than what the store keeps; read the newest records instead."""
+    """The store no longer keeps the requested offset; read the newest records instead.
+
+    Attributes:
+        first: oldest offset that the store still keeps.
+    """
 
     first: int
 
 
 @dataclass(frozen=True, slots=True)
 class NewestPage:
-    """Part of the newest records by key; the pages together are no snapshot.
+    """One page of the newest records, in order of key; the pages together are not a consistent snapshot.
 
     Attributes:
-        next_after: key to go on after, None on the last page.
-        end: end of the partition when the page was made.
+        next_after: key after which the next page starts, None on the last page.
+        end: end of the partition when the page was read.
     """
 
     records: tuple[StoredRecord, ...]
@@ -73,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """Identity of a fenced writer.
+    """Identity of a fenced append.
 
     Attributes:
-        producer: name that the epochs belong to.
-        epoch: the store refuses epochs lower than one it has seen.
+        producer: name of the writer that the epochs belong to.
+        epoch: the store refuses an epoch lower than the highest one that it has seen for the producer.
         sequence: number of this append within the epoch, from 0.
     """
 
@@ -88,11 +92,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The records are in the partition.
+    """The records are stored.
 
     Attributes:
-        offset: of the first of them.
-        end: after the last of them.
+        offset: offset of the first record.
+        end: offset after the last record.
     """
 
     offset: int
@@ -101,33 +105,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ConditionFailed:
-    """The partition did not end where the writer said; nothing was done."""
+    """The partition did not end at the expected offset; nothing was appended.
+
+    Attributes:
+        end: offset at which the partition ended.
+    """
 
     end: int
 
 
 @dataclass(frozen=True, slots=True)
 class FencedOff:
-    """A higher epoch has been seen; nothing was done, nor will be under this epoch."""
+    """The store has seen a higher epoch; it appended nothing and refuses all later appends of this epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutOfSequence:
-    """The append does not follow the last one of its epoch; nothing was done."""
+    """The append does not follow the previous one of its epoch; nothing was appended.
+
+    Attributes:
+        wanted: sequence number that the store expects.
+    """
 
     wanted: int
 
 
 @dataclass(frozen=True, slots=True)
 class NothingDone:
-    """The store refused; nothing was done, and the same append may be sent again."""
+    """The store refused the append; nothing was appended, and the same append may be sent again."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeOpen:
-    """No answer: the append may have been done, or may be done seconds later."""
+    """The store did not answer; the append may have taken effect, or may still take effect seconds later."""
 
     reason: str
 
@@ -139,8 +151,9 @@
     """A read got no usable answer.
 
     Attributes:
-        step: the call.
-        peer: the store's address.
+        step: call that failed.
+        peer: address of the store.
+        reason: what went wrong.
     """
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
@@ -152,7 +165,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """What one call may carry."""
+    """Size limits of a record and of a call.
+
+    Attributes:
+        max_record_bytes: key and value of one record.
+        max_call_bytes: one append with all its records.
+    """
 
     max_record_bytes: int = 262_144
     max_call_bytes: int = 2_097_152
@@ -160,7 +178,7 @@
 
 @dataclass(slots=True)
 class SharedLog(ABC):
-    """A store of partitions with offsets, conditions and fences."""
+    """Store of partitions with offsets, conditional appends and fencing."""
 
     limits: LogLimits = field(default_factory=LogLimits)
 
@@ -172,16 +190,24 @@
         fence: Fence | None = None,
         expected_end: int | None = None,
     ) -> AppendOutcome:
-        """Append all records or none."""
+        """Append all records or none.
+
+        Args:
+            fence: identity of the append, None for an append that is not fenced.
+            expected_end: offset at which the partition must end, None for no condition.
+        """
 
     @abstractmethod
     async def read(
         self, partition: Partition, start: int, wait_seconds: float, max_bytes: int | None = None
     ) -> RecordsRead | RecordsGone:
-        """Read records from an offset, waiting up to ``wait_seconds`` for the first.
+        """Read records from an offset on, waiting up to ``wait_seconds`` for the first one.
 
         Args:
-            max_bytes: about as much as is wanted, None for the store's own bound.
+            max_bytes: approximate size of the answer, None for the store's own limit.
+
+        Returns:
+            The records, or `RecordsGone` if the store no longer keeps ``start``.
 
         Raises:
             LogUnavailableError: no usable answer.
@@ -189,7 +215,10 @@
 
     @abstractmethod
     async def newest(self, partition: Partition, after: str | None) -> NewestPage:
-        """Read a page of the newest records by key.
+        """Read one page of the newest records, in order of key.
+
+        Args:
+            after: key after which the page starts, None for the first page.
 
         Raises:
             LogUnavailableError: no usable answer.
