--- a/src/worksramp/coordination/log_lease.py
+++ b/src/worksramp/coordination/log_lease.py
@@ -1,8 +1,9 @@
 """Lease on a shard, kept as a record in the shard's own partition.
 
-Who claims appends the owner's record under the next epoch on the condition that the partition ends where the
-claimant's copy does; the store lets one claim of a race through, and from then on refuses the former owner's
-appends. Time decides only when somebody claims, never who may write.
+A claimant appends an owner record with the next epoch, on the condition that the partition still ends where
+the claimant's copy ends, so the store accepts one of several concurrent claims. Once the new owner has
+appended under its epoch, the store refuses the previous owner's appends. Time decides only when a node
+claims, never which node may write.
 """
 
 import math
@@ -12,24 +13,24 @@
 
 OWNER_KEY = "owner"
 OWNER_PRODUCER = "owner"
-#: From this much processor time on, machines claim alike.
+#: Machines with at least this many cores draw their claim delay from the same range.
 LARGE_MACHINE_CORES = 2.0
 SMALL_MACHINE_DELAY_SECONDS = 0.3
 CLAIM_SPREAD_SECONDS = 0.2
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Who owns the shard.
+    """Record of the shard's owner.
 
     Attributes:
-        node: name of the machine.
-        boot: random text of one start of its process.
-        epoch: fencing token of all that the owner writes and orders.
-        renewal: counts the renewals within the epoch.
-        is_released: the owner has stopped; the next claim need not wait.
-        num_orders: orders to workers announced so far, by all owners; each is announced before it is given.
-        last_order_node: machine that announced the last of them, empty text when it is not known.
-        last_order_age_s: how long before this record that was, at least.
+        node: id of the owning node, the same after a restart of its process.
+        boot: random id of one start of the process.
+        epoch: fencing token of everything that the owner writes and orders.
+        renewal: number of renewals within the epoch.
+        is_released: whether the owner has stopped, so that the next claim need not wait.
+        num_orders: orders to workers announced so far, by all owners; each is announced before it is sent.
+        last_order_node: node that announced the last order, empty if unknown.
+        last_order_age_s: minimum age of that announcement when this record was written, in seconds.
     """
 
     node: str
@@ -43,21 +44,21 @@
 
     @property
     def is_order_open(self) -> bool:
-        """Whether the last order was announced by this record, so that it was given later than that."""
+        """Whether this record announced the last order, so that the order was sent after the record."""
         return self.num_orders > 0 and self.last_order_age_s == 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """Seconds that bound a lease.
+    """Durations of a lease, in seconds.
 
     Attributes:
-        expiry: without a renewal for this long, others claim.
+        expiry: other nodes claim after this long without a renewal.
         renewal: pause between renewals.
-        order_validity: the owner orders workers only while its last renewal is younger than this.
-        order_guard: a new owner orders no worker sooner than this after a former owner's last announcement.
-        max_replica_age: a claimant's copy must have been confirmed this recently.
-        outage_grace: time that an owner has to renew once the store answers again.
+        order_validity: an owner sends orders to workers only while its last renewal is younger than this.
+        order_guard: minimum time between a previous owner's last announced order and a new owner's first.
+        max_replica_age: a claimant's copy must have been confirmed as current within this time.
+        outage_grace: time that an owner has to renew once the store is available again.
     """
 
     expiry: float
@@ -70,16 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseView:
-    """What a node knows of the lease at one moment.
+    """One node's view of the lease at one moment.
 
     Attributes:
-        owner: the newest owner's record, None when there is none.
-        is_own_machine: the record was written by an earlier process of this machine.
-        owner_changed_at: when this node saw that record, on its own clock.
-        replica_age: seconds since its copy was confirmed as current.
-        may_own: whether this node wants the lease at all.
-        jitter: this node's own share of waiting, so that claims seldom race.
-        store_recovery_age: seconds since the store answered this node again.
+        owner: the newest owner record, None if there is none.
+        is_own_machine: whether an earlier process on this machine wrote that record.
+        owner_changed_at: when this node read that record, on its own clock.
+        replica_age: seconds since the node's copy of the partition was confirmed as current.
+        may_own: whether this node may own the shard at present.
+        jitter: this node's own delay before a claim in seconds, so that claims seldom collide.
+        store_recovery_age: seconds since the store became available to this node again.
     """
 
     owner: OwnerRecord | None
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLease:
-    """Claim under this epoch."""
+    """Claim the lease under this epoch."""
 
     epoch: int
 
@@ -103,39 +104,44 @@
     """Do not claim now.
 
     Attributes:
-        reason: one word for the log.
+        reason: name of the rule that applied.
     """
 
     reason: str
 
 
 def claim_delay_range(num_cores: float) -> tuple[float, float]:
-    """Return the bounds, in seconds, between which a node draws its own share of waiting before it claims.
+    """Return the range, in seconds, from which a node draws its delay before a claim.
 
-    Machines with little processor time wait for those with more: an owner runs all items of its shard.
+    An owner runs all items of its shard, so machines with less processor time wait longer and leave the claim
+    to larger ones.
 
     Args:
         num_cores: processor time of this machine, in cores.
     """
-    least = SMALL_MACHINE_DELAY_SECONDS * max(0.0, 1.0 - num_cores / LARGE_MACHINE_CORES)
-    return (least, least + CLAIM_SPREAD_SECONDS)
+    min_delay = SMALL_MACHINE_DELAY_SECONDS * max(0.0, 1.0 - num_cores / LARGE_MACHINE_CORES)
+    return (min_delay, min_delay + CLAIM_SPREAD_SECONDS)
 
 
 def decide_claim(view: LeaseView, times: LeaseTimes, now: float) -> ClaimLease | DeferClaim:
-    """Decide whether a node that does not own the shard claims it."""
+    """Decide whether a node that does not own the shard claims it.
+
+    Args:
+        now: time on this node's clock.
+    """
     if not view.may_own:
         return DeferClaim("not_wanted")
     if view.replica_age > times.max_replica_age:
-        # Without a fresh copy, silence may be the store's and not the owner's.
+        # With a stale copy, a missing renewal may be due to the store rather than to the owner.
         return DeferClaim("copy_not_fresh")
     if view.owner is None:
         waited = now - view.owner_changed_at
         return ClaimLease(1) if waited >= view.jitter else DeferClaim("jitter")
     if view.is_own_machine:
-        # One process at a time runs on a machine: the one that wrote this has ended.
+        # Only one process runs on a machine at a time, so the one that wrote this record has ended.
         return ClaimLease(view.owner.epoch + 1)
     if not view.owner.is_released and view.store_recovery_age < times.outage_grace + view.jitter:
-        # While the store was away nobody could renew: the silence says nothing of the owner yet.
+        # No owner could renew while the store was unavailable, so a missing renewal proves nothing yet.
         return DeferClaim("store_regained")
     due = view.jitter if view.owner.is_released else times.expiry + view.jitter
     if now - view.owner_changed_at < due:
@@ -144,17 +150,18 @@
 
 
 def latest_order_at(record: OwnerRecord, node: str, now: float) -> float:
-    """Return the latest time at which a machine other than this one can have given the last order.
+    """Return the latest time at which another machine can have sent the last order.
 
-    A record was written before it is read, so that the age it tells is the least: no clocks are compared. A
-    holder is a machine: what an earlier process of this one ordered keeps it from nothing.
+    A record is written before it is read, so the age that it states is a minimum, and no clocks of different
+    machines are compared. Workers get orders in the name of a machine, so an order of an earlier process on
+    this machine requires no wait.
 
     Args:
-        node: name of this machine.
-        now: time on this machine's clock, at which the record is known.
+        node: id of this node.
+        now: time on this machine's clock at which the record has been read.
 
     Returns:
-        A time on this machine's clock, minus infinity for no order of another machine.
+        A time on this machine's clock, minus infinity if no other machine has sent an order.
     """
     if record.num_orders == 0 or record.last_order_node == node:
         return -math.inf
@@ -162,12 +169,14 @@
 
 
 def may_order(now: float, former_order_at: float, renewed_at: float, times: LeaseTimes) -> bool:
-    """Return whether an owner may order workers now.
+    """Return whether an owner may send orders to workers now.
 
-    The guard after a former owner's last announced order keeps two owners from taking turns; the age of the
-    renewal keeps one that woke from a pause silent until it has heard from the store again.
+    The guard after a previous owner's last announced order keeps two owners from alternating orders to the
+    same worker. The limit on the age of the renewal keeps an owner that resumes after a pause from sending
+    orders until the store has answered it again.
 
     Args:
-        former_order_at: latest time at which another machine can have given an order.
+        former_order_at: latest time at which another machine can have sent an order.
+        renewed_at: time of the last renewal, on the clock of ``now``.
     """
     return now - former_order_at >= times.order_guard and now - renewed_at <= times.order_validity
