--- a/src/worksramp/coordination/fenced_writer.py
+++ b/src/worksramp/coordination/fenced_writer.py
@@ -1,4 +1,4 @@
-"""Appends of one owner: in turn, fenced by its epoch, sent again until their outcome is known."""
+"""Fenced appends of one owner: in order, one at a time, each repeated until its outcome is known."""
 
 import random
 from collections import deque
@@ -23,7 +23,8 @@
 
 RETRY_PAUSE_SECONDS = 0.05
 MAX_RETRY_PAUSE_SECONDS = 0.3
-#: A lost answer is not waited for as long as a slow one; the store gives a repeated append its first answer.
+#: Timeout of the first try, doubled for each further one: a lost answer costs only a short wait, and a slow
+#: answer still gets its time. The store gives a repeated append its first answer.
 FIRST_TRY_SECONDS = 0.3
 RECORD_OVERHEAD_BYTES = 300
 RENEWAL_SHARE = 0.8
@@ -33,15 +34,16 @@
 
 
 class OwnershipLostError(Exception):
-    """Another owner's epoch is in force; nothing more can be written."""
+    """The store refused an append of the owner's epoch; the owner can write nothing more."""
 
 
 class FencedWriter:
-    """Queue of an owner's records.
+    """Queue of an owner's records, which also renews its lease.
 
     Args:
-        claimed: the owner's record as it was claimed, with sequence 0.
-        clock: that the age of the lease is told by.
+        claimed: the owner record of the claim; `begin` appends it again as sequence 0 of the epoch.
+        renewal_seconds: pause between renewals.
+        clock: measures the age of the lease.
     """
 
     def __init__(
@@ -58,8 +60,8 @@
         self._sequence = -1
         self._queue: deque[KeyedRecord] = deque()
         self._renewal_seconds = renewal_seconds
-        self._wanted = anyio.Event()
-        self._is_release_wanted = False
+        self._append_requested = anyio.Event()
+        self._is_release_requested = False
         self._ended = anyio.Event()
         self._num_orders = claimed.num_orders
         self._last_order_node = claimed.last_order_node
@@ -71,72 +73,79 @@
         self._renewed_at = clock()
 
     def renewal_age_s(self) -> float:
-        """Return how long ago an append that the store took was begun, a suspension included."""
+        """Return the seconds since the last successful append was started.
+
+        They include the time of a suspension if the writer's clock does.
+        """
         return self._clock() - self._renewed_at
 
     @property
     def owner(self) -> OwnerRecord:
-        """The owner's record as last renewed."""
+        """The owner record as last renewed."""
         return self._owner
 
     @property
     def num_waiting(self) -> int:
-        """Number of records not yet known to be in."""
+        """Number of queued records, without those of the append in progress."""
         return len(self._queue)
 
     def put(self, *records: KeyedRecord) -> None:
         """Queue records; they are appended in order."""
         self._queue.extend(records)
-        self._wanted.set()
+        self._append_requested.set()
 
     async def announce_order(self) -> None:
-        """Return once the log says that an order is about to be given.
+        """Record in the log that an order is about to be sent; return once the record is stored.
 
-        Whoever owns the shard next knows from it how long to keep from giving orders.
+        The next owner derives from it how long to wait before it sends orders.
         """
         self._num_orders += 1
         announced = self._num_orders
-        self._wanted.set()
+        self._append_requested.set()
         while self._announced_orders < announced:
             await self._appended.wait()
 
     async def begin(self) -> int:
-        """Make the epoch known to the store; return the end of the partition after that.
+        """Append the owner record, so that the store refuses lower epochs from now on.
+
+        Returns:
+            The end of the partition after the append.
 
         Raises:
-            OwnershipLostError: a higher epoch is known already.
+            OwnershipLostError: the store refused the append, for instance because it has seen a higher epoch.
         """
         self._sequence += 1
         return await self._append_until_known((KeyedRecord(OWNER_KEY, encode(self._owner)),))
 
     async def run(self) -> None:
-        """Append what is queued and renew the lease, until released.
+        """Append queued records and renew the lease, until it is released.
 
         Raises:
-            OwnershipLostError: the store has refused the epoch.
+            OwnershipLostError: the store refused an append.
         """
         try:
             while not self._owner.is_released:
                 with anyio.move_on_after(self._renewal_seconds):
-                    await self._wanted.wait()
-                    # A few more results may be about to come: one append for all of them.
+                    await self._append_requested.wait()
+                    # More results may follow within moments; they share one append.
                     await anyio.sleep(GATHER_SECONDS)
-                self._wanted = anyio.Event()
-                await self._append_batch(is_release=self._is_release_wanted)
+                self._append_requested = anyio.Event()
+                await self._append_batch(is_release=self._is_release_requested)
         finally:
             self._ended.set()
 
     async def release(self) -> None:
-        """Have what is queued appended and the lease given back; return when done, or when it is lost."""
-        self._is_release_wanted = True
-        self._wanted.set()
+        """Append what is queued and release the lease; return when that is done or the lease is lost."""
+        self._is_release_requested = True
+        self._append_requested.set()
         await self._ended.wait()
 
     async def _append_batch(self, is_release: bool) -> None:
-        batch = self._take_batch()
+        batch = self._dequeue_batch()
         is_release = is_release and not self._queue
         now = anyio.current_time()
-        # Other nodes watch the owner's record alone, so it must be written however much else is.
+        # Other nodes judge the lease by the owner record alone, so it is renewed even while other records are
+        # appended all the time.
         is_due = now - self._renewal_written_at >= RENEWAL_SHARE * self._renewal_seconds
         if is_release or is_due or not batch or self._num_orders > self._owner.num_orders:
             self._renewal_written_at = now
@@ -156,33 +165,33 @@
         self._sequence += 1
         await self._append_until_known(tuple(batch))
         if self._owner.num_orders > self._announced_orders:
-            # An order follows the moment at which its announcement is known, not that of its writing.
+            # The order is sent after its announcement is known to be stored, so its age counts from now.
             self._last_order_at = anyio.current_time()
         self._announced_orders = self._owner.num_orders
         self._appended.set()
         self._appended = anyio.Event()
         if self._queue:
-            self._wanted.set()
+            self._append_requested.set()
 
-    def _take_batch(self) -> list[KeyedRecord]:
+    def _dequeue_batch(self) -> list[KeyedRecord]:
         batch: list[KeyedRecord] = []
-        room = self._log.limits.max_call_bytes // 2
-        while self._queue and (not batch or room > len(self._queue[0].value) + RECORD_OVERHEAD_BYTES):
+        free_bytes = self._log.limits.max_call_bytes // 2
+        while self._queue and (not batch or free_bytes > len(self._queue[0].value) + RECORD_OVERHEAD_BYTES):
             record = self._queue.popleft()
-            room -= len(record.value) + RECORD_OVERHEAD_BYTES
+            free_bytes -= len(record.value) + RECORD_OVERHEAD_BYTES
             batch.append(record)
         return batch
 
     async def _append_until_known(self, batch: tuple[KeyedRecord, ...]) -> int:
         fence = Fence(OWNER_PRODUCER, self._owner.epoch, self._sequence)
         pause = RETRY_PAUSE_SECONDS
-        try_seconds = FIRST_TRY_SECONDS
+        try_timeout = FIRST_TRY_SECONDS
         while True:
             started = self._clock()
-            outcome: AppendOutcome = OutcomeOpen(f"no answer within {try_seconds} s")
-            with anyio.move_on_after(try_seconds):
+            outcome: AppendOutcome = OutcomeOpen(f"no answer within {try_timeout} s")
+            with anyio.move_on_after(try_timeout):
                 outcome = await self._log.append(self._partition, batch, fence=fence)
-            try_seconds *= 2
+            try_timeout *= 2
             if isinstance(outcome, Appended):
                 self._renewed_at = started
                 return outcome.end
