--- a/src/worksramp/coordination/keyed_replica.py
+++ b/src/worksramp/coordination/keyed_replica.py
@@ -1,8 +1,8 @@
-"""A node's copy of one keyed partition, kept up to date by long polls.
+"""A node's copy of one keyed partition, kept current by long polls.
 
-The copy starts from the newest records by key and follows the log from there; when the store no longer keeps
-the place it had reached, it starts again. It never goes back: an answer that ends before what was already
-seen is passed over.
+The copy is loaded from the newest records by key and follows the log from there. If the store no longer keeps
+the offset that the copy has reached, the copy is loaded again. It never moves back: an answer that ends before
+that offset is rejected when loading.
 """
 
 import random
@@ -24,15 +24,19 @@
 PAUSE_AFTER_ERROR_SECONDS = 0.05
 MAX_PAUSE_AFTER_ERROR_SECONDS = 0.4
 BARRIER_WAIT_SECONDS = 0.0
-#: Pause after an answer with records while a caller waits for a change.
-WAITED_FOR_GATHER_S = 0.02
+#: Pause after an answer with records while a caller waits for a change, instead of the longer usual one.
+SHORT_GATHER_S = 0.02
 
 logger = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A key got a new value, or none."""
+    """A key got a new value or was removed.
+
+    Attributes:
+        value: None if the key was removed.
+    """
 
     key: str
     value: bytes | None
@@ -40,7 +44,7 @@
 
 
 class NotCurrentError(Exception):
-    """The copy could not be shown to be up to date in time."""
+    """The copy could not be confirmed as current in time."""
 
 
 ChangeHandler = Callable[[Change], None]
@@ -49,11 +53,13 @@
 class KeyedReplica:
     """Copy of the newest value of each key of a partition.
 
+    The values themselves are kept by ``on_change``; the replica keeps the offset of each.
+
     Args:
         poll_seconds: longest wait of one poll.
+        on_change: called for each change, in order of offset.
         gather_seconds: pause after an answer with records, so that many small changes take few calls.
-        on_change: called for each change, in order of offsets within one partition.
-        clock: that the age of the copy is told by.
+        clock: measures the age of the copy.
     """
 
     def __init__(
@@ -72,85 +78,88 @@
         self._clock = clock
         self._offsets: dict[str, int] = {}
         self._changed = anyio.Event()
-        self._hurry = anyio.Event()
+        self._read_requested = anyio.Event()
         self._is_reachable = True
         self.gather_seconds = gather_seconds
         self.position: int | None = None
         self._confirmed_at = float("-inf")
-        #: When the store last answered again after it had not.
-        self.regained_at = float("-inf")
+        #: When the store last became available again after an outage.
+        self.recovered_at = float("-inf")
         self._is_gathering = False
-        self._num_waiting = 0
+        self._num_waiters = 0
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the copy has held the whole partition once."""
+        """Whether the whole partition has been loaded once."""
         return self.position is not None
 
     def confirmed_age(self) -> float:
-        """Return seconds since the start of the last poll that found nothing missing."""
+        """Return the age of the copy: seconds since the start of the last read that confirmed it as current.
+
+        It is infinite before the first such read.
+        """
         return self._clock() - self._confirmed_at
 
     def store_recovery_age(self) -> float:
-        """Return seconds since the store answered again after an outage, as this node saw it."""
-        return anyio.current_time() - self.regained_at
+        """Return seconds since the store became available to this node again, infinite without an outage."""
+        return anyio.current_time() - self.recovered_at
 
     async def follow(self) -> None:
-        """Keep the copy up to date until cancelled."""
+        """Keep the copy current until cancelled."""
         pause = PAUSE_AFTER_ERROR_SECONDS
         while True:
             try:
-                has_changed = await self._step()
+                has_changed = await self._poll()
                 pause = PAUSE_AFTER_ERROR_SECONDS
                 if has_changed and self.gather_seconds:
                     await self._gather()
             except LogUnavailableError as error:
-                self._note_reachable(False, str(error))
+                self._set_reachable(False, str(error))
                 await anyio.sleep(pause * random.uniform(0.5, 1.0))
                 pause = min(pause * 2, MAX_PAUSE_AFTER_ERROR_SECONDS)
 
     async def wait_loaded(self) -> None:
-        """Wait until the copy has held the whole partition once."""
+        """Wait until the whole partition has been loaded once."""
         while self.position is None:
             await self._changed.wait()
 
     async def wait_position(self, end: int) -> None:
         """Wait until the copy holds all records before offset ``end``."""
-        self._hurry.set()
+        self._read_requested.set()
         while self.position is None or self.position < end:
             await self._changed.wait()
 
     async def barrier(self, timeout_seconds: float) -> None:
-        """Return once the copy holds all that the store held when this was called.
+        """Wait until the copy holds everything that the store held at the time of the call.
 
         Raises:
-            NotCurrentError: that could not be shown within ``timeout_seconds``.
+            NotCurrentError: this could not be confirmed within ``timeout_seconds``.
         """
         try:
             with anyio.fail_after(timeout_seconds):
                 await self.wait_loaded()
                 end = await self._end()
-                self._hurry.set()
+                self._read_requested.set()
                 await self.wait_position(end)
         except (TimeoutError, LogUnavailableError) as error:
             raise NotCurrentError(str(error) or "timed out") from error
 
     async def catch_up(self, timeout_s: float) -> None:
-        """Cut a pause between two reads short, and wait a moment for what came in during it."""
+        """End a pause between two reads early and wait up to ``timeout_s`` for what was appended meanwhile."""
         if not self._is_gathering:
             return
-        self._hurry.set()
+        self._read_requested.set()
         with anyio.move_on_after(timeout_s):
             await self._changed.wait()
 
     async def wait_changed(self) -> None:
-        """Wait until the copy has taken in something more; meanwhile changes gather for a moment only."""
-        self._num_waiting += 1
-        self._hurry.set()
+        """Wait until the copy has applied the next answer; pauses between reads are short meanwhile."""
+        self._num_waiters += 1
+        self._read_requested.set()
         try:
             await self._changed.wait()
         finally:
-            self._num_waiting -= 1
+            self._num_waiters -= 1
 
     async def _end(self) -> int:
         assert self.position is not None
@@ -160,17 +169,17 @@
         return answer.end
 
     async def _gather(self) -> None:
-        """Let changes gather, unless somebody needs to know the end now."""
+        """Pause so that changes gather, unless a caller requires the next read at once."""
         self._is_gathering = True
-        if self._num_waiting:
-            await anyio.sleep(min(self.gather_seconds, WAITED_FOR_GATHER_S))
+        if self._num_waiters:
+            await anyio.sleep(min(self.gather_seconds, SHORT_GATHER_S))
         else:
             with anyio.move_on_after(self.gather_seconds):
-                await self._hurry.wait()
+                await self._read_requested.wait()
         self._is_gathering = False
-        self._hurry = anyio.Event()
+        self._read_requested = anyio.Event()
 
-    async def _step(self) -> bool:
+    async def _poll(self) -> bool:
         """Read once; return whether anything was new."""
         if self.position is None:
             await self._load()
@@ -183,39 +192,39 @@
             )
             await self._load()
             return True
-        # Before the changes are taken in: what they mean may depend on an outage.
-        self._note_reachable(True, "")
+        # Done before the changes are applied, since their meaning may depend on whether an outage just ended.
+        self._set_reachable(True, "")
         for record in answer.records:
             self._apply(record)
         if answer.records:
             self.position = max(self.position, answer.records[-1].offset + 1)
         if answer.end <= self.position:
             self._confirmed_at = started
-        self._wake()
+        self._notify_changed()
         return bool(answer.records)
 
     async def _load(self) -> None:
-        """Read the newest records of all keys, then go on from where the first page was made."""
+        """Load the newest record of every key; later reads continue from the end given by the first page."""
         started = self._clock()
         page = await self._log.newest(self._partition, None)
         first_end = page.end
         if self.position is not None and first_end < self.position:
-            raise LogUnavailableError("newest", self._partition.topic, "older than what was already seen")
+            raise LogUnavailableError("newest", self._partition.topic, "the answer is older than the copy")
         records = list(page.records)
         while page.next_after is not None:
             page = await self._log.newest(self._partition, page.next_after)
             records += page.records
-        self._note_reachable(True, "")
-        # All at once and in the order of appends: nobody sees half of what belongs together.
+        self._set_reachable(True, "")
+        # Applied in one go and in order of offset, so that no reader sees a part of related records.
         for record in sorted(records, key=lambda record: record.offset):
             self._apply(record)
-        self._drop_missing({record.key for record in records}, first_end)
+        self._remove_missing({record.key for record in records}, first_end)
         self.position = first_end
         self._confirmed_at = started
-        self._wake()
+        self._notify_changed()
 
-    def _drop_missing(self, seen: set[str], end: int) -> None:
-        """Forget the keys that the store no longer has."""
+    def _remove_missing(self, seen: set[str], end: int) -> None:
+        """Remove the keys that the store no longer has."""
         for key in [key for key, offset in self._offsets.items() if key not in seen and offset < end]:
             del self._offsets[key]
             self._on_change(Change(key, None, end - 1))
@@ -229,16 +238,16 @@
             self._offsets.pop(record.key, None)
         self._on_change(Change(record.key, record.value or None, record.offset))
 
-    def _wake(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _note_reachable(self, is_reachable: bool, reason: str) -> None:
+    def _set_reachable(self, is_reachable: bool, reason: str) -> None:
         if is_reachable == self._is_reachable:
             return
         self._is_reachable = is_reachable
         if is_reachable:
-            self.regained_at = anyio.current_time()
+            self.recovered_at = anyio.current_time()
             logger.info("store_regained", topic=self._partition.topic, position=self.position)
         else:
             logger.warning("store_lost", topic=self._partition.topic, position=self.position, reason=reason)
--- a/tests/unit/test_keyed_replica.py
+++ b/tests/unit/test_keyed_replica.py
@@ -1,4 +1,4 @@
-"""How soon a node's copy of a partition has what a caller waits for."""
+"""Delay with which a node's copy of a partition gets a record that a caller waits for."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 PARTITION = Partition("keyed.things", 0)
 GATHER_S = 0.2
-#: The pause while somebody waits, a read and its answer.
+#: The short pause while a caller waits, plus a read and its answer.
 SOON_S = 0.04
 
 
@@ -21,15 +21,15 @@
 
 
 async def write_forever(store: LogStore) -> None:
-    """Other results are listed all the time."""
+    """Append records of other keys all the time."""
     for number in range(1000):
         put(store, f"other/{number}")
         await anyio.sleep(0.015)
 
 
 @pytest.mark.parametrize("delay_s", [0.01, 0.05, 0.1, 0.15])
-def test_a_held_read_gets_its_result_as_soon_as_it_is_listed(delay_s: float) -> None:
-    """Load pattern: a trainer's read waits for the last text of its step, while others are listed."""
+def test_a_waiting_read_gets_its_result_soon_after_it_is_recorded(delay_s: float) -> None:
+    """Load pattern: a trainer's read waits for the last text of its step while other texts are recorded."""
 
     async def main() -> None:
         seen: dict[str, float] = {}
@@ -44,12 +44,12 @@
             group.start_soon(write_forever, store)
             await anyio.sleep(1.0)
 
-            async def list_last() -> None:
+            async def append_last() -> None:
                 await anyio.sleep(delay_s)
                 seen["listed"] = anyio.current_time()
                 put(store, "last")
 
-            group.start_soon(list_last)
+            group.start_soon(append_last)
             while "last" not in seen:
                 await replica.wait_changed()
             assert seen["last"] - seen["listed"] <= SOON_S
@@ -58,7 +58,7 @@
     run_simulated(main, 1)
 
 
-def test_where_nobody_waits_changes_gather() -> None:
+def test_changes_gather_while_no_caller_waits() -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
             store = LogStore(random.Random(1), group)
