--- a/src/worksramp/coordination/keyed_replica.py
+++ b/src/worksramp/coordination/keyed_replica.py
@@ -1,8 +1,8 @@
 """A node's copy of one keyed partition, kept current by long polls.
 
 The copy is loaded from the newest records by key and follows the log from there. If the store no longer keeps
-the offset that the copy has reached, the copy is loaded again. It never moves back: an answer that ends before
-that offset is rejected when loading.
+the offset that the copy has reached, the copy is loaded again. It never moves back: loading rejects an answer
+that ends before that offset.
 """
 
 import random
@@ -145,7 +145,7 @@
             raise NotCurrentError(str(error) or "timed out") from error
 
     async def catch_up(self, timeout_s: float) -> None:
-        """End a pause between two reads early and wait up to ``timeout_s`` for what was appended meanwhile."""
+        """End a pause between two reads early and wait up to ``timeout_s`` for the next change."""
         if not self._is_gathering:
             return
         self._read_requested.set()
