--- a/src/worksramp/coordination/value_store.py
+++ b/src/worksramp/coordination/value_store.py
@@ -1,8 +1,8 @@
-"""Values that few readers need, in partitions that no node follows.
+"""Store of values that few nodes read, in partitions that no node follows.
 
-A partition that every node follows costs its bytes times the number of nodes, at each append and again at
-each start. What only one or two nodes ever read stands here instead: it is written before the record that
-refers to it, and read on demand, by its offset while the store still keeps that, by its key afterwards.
+Every node reads all bytes of a followed partition, as they are appended and again at each start. Values that
+only one or two nodes ever read are stored here instead. A value is written before the record that refers to
+it, and read on demand: by offset while the store still keeps that offset, by key afterwards.
 """
 
 import random
@@ -26,10 +26,11 @@
 
 RETRY_PAUSE_S = 0.04
 MAX_RETRY_PAUSE_S = 0.25
-#: A lost answer is not waited for as long as a slow one: the first tries are short.
+#: Timeout of the first try, doubled for each further one: a lost answer costs only a short wait, and a slow
+#: store still gets its time.
 FIRST_TRY_S = 0.3
 RECORD_OVERHEAD_B = 300
-#: Reads by offset before the keys are asked for: other writers' records may lie in between.
+#: Maximum number of reads by offset before reading by key: records of other writers may lie in between.
 MAX_READS_BY_OFFSET = 4
 
 
@@ -38,8 +39,8 @@
     """Where a value was written.
 
     Attributes:
-        offset: in the partition of its group.
-        size_b: of the value.
+        offset: offset in the partition of the value's group.
+        size_b: size of the value in bytes.
     """
 
     key: str
@@ -49,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """All records are in.
+    """All records are stored.
 
     Attributes:
-        offsets: of each record, in the order given.
+        offsets: offset of each record, in the order given.
     """
 
     offsets: tuple[int, ...]
@@ -60,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotStored:
-    """Some record is not known to be in.
+    """At least one record is not known to be stored.
 
     Attributes:
-        may_be_stored: some call had no answer.
+        may_be_stored: whether some call got no answer, so that its records may be stored all the same.
     """
 
     reason: str
@@ -71,11 +72,12 @@
 
 
 class ValuesUnavailableError(Exception):
-    """Values could not be read now.
+    """The values cannot be read at present.
 
     Attributes:
-        step: the call.
-        peer: the partition.
+        step: call that failed.
+        peer: partition that was read.
+        reason: what went wrong.
     """
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
@@ -85,14 +87,17 @@
         self.reason = reason
 
 
-def calls_of(records: Sequence[KeyedRecord], max_call_b: int) -> Iterator[tuple[KeyedRecord, ...]]:
-    """Yield records in order, in calls small enough for the log."""
-    room_b = max_call_b // 2
+def split_into_calls(records: Sequence[KeyedRecord], max_call_b: int) -> Iterator[tuple[KeyedRecord, ...]]:
+    """Yield the records in order, as groups that fit into one call each.
+
+    A group takes at most half of ``max_call_b``, except for a single record that is larger.
+    """
+    limit_b = max_call_b // 2
     call: list[KeyedRecord] = []
     size_b = 0
     for record in records:
         record_b = len(record.value) + RECORD_OVERHEAD_B
-        if call and size_b + record_b > room_b:
+        if call and size_b + record_b > limit_b:
             yield tuple(call)
             call, size_b = [], 0
         call.append(record)
@@ -104,7 +109,11 @@
 async def append_until_known(
     log: SharedLog, partition: Partition, records: tuple[KeyedRecord, ...], timeout_s: float
 ) -> Appended | NotStored:
-    """Append records that may stand twice, again and again until the outcome is known or time is over."""
+    """Append records that may be stored twice, repeating until the outcome is known or time is up.
+
+    Returns:
+        Where the records are stored, or `NotStored` when time is up.
+    """
     deadline = anyio.current_time() + timeout_s
     pause_s = RETRY_PAUSE_S
     try_s = FIRST_TRY_S
@@ -128,7 +137,7 @@
     """Groups of values, each group in one of the partitions.
 
     Args:
-        partitions: chosen among by a hash of the group's name; the same on all nodes.
+        partitions: must be the same on all nodes, since a hash of the group's name selects one of them.
     """
 
     def __init__(self, log: SharedLog, partitions: Sequence[Partition]) -> None:
@@ -140,27 +149,31 @@
         return self._partitions[zlib.crc32(group.encode()) % len(self._partitions)]
 
     async def put(self, group: str, records: Sequence[KeyedRecord], timeout_s: float) -> Stored | NotStored:
-        """Write records that mean the same when they stand twice."""
+        """Write records that may be stored twice without harm.
+
+        Args:
+            timeout_s: time for each call to the log.
+        """
         partition = self.partition_of(group)
         offsets: list[int] = []
-        for call in calls_of(records, self.log.limits.max_call_bytes):
+        for call in split_into_calls(records, self.log.limits.max_call_bytes):
             outcome = await append_until_known(self.log, partition, call, timeout_s)
             if isinstance(outcome, NotStored):
                 return outcome
             offsets += range(outcome.offset, outcome.offset + len(call))
         return Stored(tuple(offsets))
 
-    async def fetch(self, group: str, places: Sequence[ValueLocation]) -> dict[str, bytes]:
+    async def fetch(self, group: str, locations: Sequence[ValueLocation]) -> dict[str, bytes]:
         """Read values that are known to have been written.
 
         Returns:
             The value of each key.
 
         Raises:
-            ValuesUnavailableError: not all could be read now.
+            ValuesUnavailableError: not all of them can be read at present.
         """
         partition = self.partition_of(group)
-        missing = {place.key: place for place in places}
+        missing = {location.key: location for location in locations}
         try:
             found = await self._fetch_by_offset(partition, missing)
             if missing:
@@ -168,7 +181,7 @@
         except LogUnavailableError as error:
             raise ValuesUnavailableError(error.step, str(partition), error.reason) from error
         if missing:
-            raise ValuesUnavailableError("newest", str(partition), f"no {min(missing)}")
+            raise ValuesUnavailableError("newest", str(partition), f"no value of {min(missing)}")
         return found
 
     async def _fetch_by_offset(
@@ -179,8 +192,8 @@
         for _ in range(MAX_READS_BY_OFFSET):
             if not missing:
                 break
-            start = max(start, min(place.offset for place in missing.values()))
-            size_b = sum(place.size_b + RECORD_OVERHEAD_B for place in missing.values())
+            start = max(start, min(location.offset for location in missing.values()))
+            size_b = sum(location.size_b + RECORD_OVERHEAD_B for location in missing.values())
             answer = await self.log.read(partition, start, 0.0, max_bytes=size_b)
             if isinstance(answer, RecordsGone) or not answer.records:
                 break
@@ -197,7 +210,8 @@
         for key in sorted(missing):
             if key not in missing:
                 continue
-            # A key without its last sign stands right before it, but for a few of its neighbours.
+            # A page starts after the given key, so the last character is removed. Only a few other keys sort
+            # in between.
             page = await self.log.newest(partition, key[:-1])
             for record in page.records:
                 if missing.pop(record.key, None) is not None:
@@ -208,7 +222,7 @@
         """Read the newest value of each key in a group's partition.
 
         Raises:
-            ValuesUnavailableError: not all could be read now.
+            ValuesUnavailableError: not all of them can be read at present.
         """
         partition = self.partition_of(group)
         values: dict[str, bytes] = {}
--- a/tests/unit/test_value_store.py
+++ b/tests/unit/test_value_store.py
@@ -1,4 +1,4 @@
-"""Values apart from the followed partition: read by offset, or by key once that is gone."""
+"""Values outside the followed partition: read by offset, or by key once the offset is no longer kept."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
     ValueLocation,
     ValueStore,
     ValuesUnavailableError,
-    calls_of,
+    split_into_calls,
 )
 from worksramp.rollout.batch_values import BatchValues, records_forgetting_values, records_of_text
 from worksramp.rollout.batches import Batch, BatchHeader, BatchItem, ResultRecord
@@ -37,28 +37,28 @@
     return [KeyedRecord(name, name.encode()) for name in names]
 
 
-def places(names: list[str], stored: Stored | NotStored) -> list[ValueLocation]:
+def locations(names: list[str], stored: Stored | NotStored) -> list[ValueLocation]:
     assert isinstance(stored, Stored)
     return [
         ValueLocation(name, offset, len(name)) for name, offset in zip(names, stored.offsets, strict=True)
     ]
 
 
-def test_values_come_back_by_offset_between_those_of_others() -> None:
+def test_values_are_read_by_offset_between_those_of_others() -> None:
     async def work(values: ValueStore, store: LogStore) -> None:
         first = await values.put("g", records("g/1"), 1.0)
         store.do_append(values.partition_of("g"), tuple(records("other/1", "other/2")), None, None)
         second = await values.put("g", records("g/2", "g/3"), 1.0)
-        wanted = places(["g/1"], first) + places(["g/2", "g/3"], second)
+        wanted = locations(["g/1"], first) + locations(["g/2", "g/3"], second)
         assert await values.fetch("g", wanted) == {"g/1": b"g/1", "g/2": b"g/2", "g/3": b"g/3"}
 
     play(work)
 
 
-def test_values_come_back_by_key_once_their_offsets_are_gone() -> None:
+def test_values_are_read_by_key_once_their_offsets_are_gone() -> None:
     async def work(values: ValueStore, store: LogStore) -> None:
         names = [f"g/{number:06}" for number in range(120)]
-        wanted = places(names, await values.put("g", records(*names), 1.0))
+        wanted = locations(names, await values.put("g", records(*names), 1.0))
         await values.put("g", records("f/1", "h/1"), 1.0)
         store.forget_records(values.partition_of("g"))
         assert sorted(await values.fetch("g", wanted)) == names
@@ -67,9 +67,9 @@
     play(work)
 
 
-def test_a_value_that_is_not_there_or_a_store_that_does_not_answer_is_an_error_never_less() -> None:
+def test_a_missing_value_or_an_unavailable_store_is_an_error_and_never_a_partial_result() -> None:
     async def work(values: ValueStore, store: LogStore) -> None:
-        wanted = places(["g/1"], await values.put("g", records("g/1"), 1.0))
+        wanted = locations(["g/1"], await values.put("g", records("g/1"), 1.0))
         with pytest.raises(ValuesUnavailableError, match="g/2"):
             await values.fetch("g", [*wanted, ValueLocation("g/2", 7, 1)])
         store.faults.is_down = True
@@ -80,7 +80,7 @@
     play(work)
 
 
-def test_a_lost_answer_costs_a_short_try_and_a_slow_store_still_gets_its_time() -> None:
+def test_a_lost_answer_costs_a_short_try_and_a_slow_store_still_succeeds() -> None:
     async def work(values: ValueStore, store: LogStore) -> None:
         store.faults.lost_answers = 1.0
         outcome = await values.put("g", records("g/1"), 2.0)
@@ -94,13 +94,13 @@
 
 def test_calls_are_small_enough_for_the_log() -> None:
     many = [KeyedRecord(str(number), b"x" * 1000) for number in range(10)]
-    calls = list(calls_of(many, max_call_b=8000))
+    calls = list(split_into_calls(many, max_call_b=8000))
     assert [record for call in calls for record in call] == many
     assert all(sum(len(record.value) for record in call) <= 4000 for call in calls)
-    assert list(calls_of([], 8000)) == []
+    assert list(split_into_calls([], 8000)) == []
 
 
-def test_a_long_text_takes_several_records_and_is_read_whole() -> None:
+def test_a_long_text_takes_several_records_and_is_read_completely() -> None:
     async def work(values: ValueStore, store: LogStore) -> None:
         text = "zażółć\n" * 50
         written = records_of_text("b", 0, 3, text, max_record_b=64)
@@ -113,7 +113,7 @@
         batch.results[1] = ResultRecord("y", False, ())
         results = await BatchValues(values).results(batch, [0, 1])
         assert [result.text for result in results] == [text, ""]
-        # A former owner's text at the same position stands under another key.
+        # The text of a previous owner at the same position is stored under another key.
         await values.put("b", records_of_text("b", 0, 2, "late", 64), 1.0)
         store.forget_records(values.partition_of("b"))
         assert (await BatchValues(values).results(batch, [0]))[0].text == text
@@ -123,7 +123,7 @@
     play(work)
 
 
-def test_items_come_back_one_by_one_or_all() -> None:
+def test_items_are_read_one_by_one_or_all_together() -> None:
     async def work(values: ValueStore, store: LogStore) -> None:
         batch_values = BatchValues(values)
         items = [BatchItem(f"x{number}", "/", (), bytes([number]), 9) for number in range(12)]
