--- a/src/worksramp/coordination/replica.py
+++ b/src/worksramp/coordination/replica.py
@@ -1,4 +1,4 @@
-"""Shell around a stream fold: tail the log, claim ownership, commit entries.
+"""I/O around a stream fold: tail the log, claim ownership, commit entries.
 
 See Also:
     worksramp.coordination.fold: the rules that decide what is accepted.
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _Pending:
-    """An entry waiting for its verdict."""
+    """An entry that waits for its verdict."""
 
     entry: bytes
     resolved: anyio.Event = field(default_factory=anyio.Event)
@@ -58,21 +58,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Unresolved:
-    """The entry was sent, but whether it is accepted is not known yet."""
+    """The entry was sent, but its verdict is not known yet.
+
+    Attributes:
+        wait: returns the verdict once it is known.
+    """
 
     wait: Callable[[], Awaitable[Verdict]]
 
 
 class StreamReplica(Generic[StateT]):
-    """Follows one stream and, while this instance owns it, writes to it.
+    """Reader of one stream that also writes to it while this instance owns it.
 
     Args:
         log: the log service.
         stream: name of the stream.
         state: empty state to fold into.
-        instance_id: id of this process; never reused after a restart.
-        fold_version: version of the fold's rules; a snapshot of another version is not used.
-        snapshot_every: records between two snapshots written by the owner; 0 writes none.
+        instance_id: id of this process; a restarted process has a different one.
+        fold_version: version of the fold's rules; snapshots of other versions are ignored.
+        snapshot_every: number of records between two snapshots by the owner; 0 to use no snapshots.
     """
 
     def __init__(
@@ -100,33 +104,35 @@
 
     @property
     def state(self) -> StateT:
-        """The folded state; callers must not change it."""
+        """The folded state; callers must not modify it."""
         return self.fold.state
 
     @property
     def is_owner(self) -> bool:
         """Whether the records read so far make this instance the owner.
 
-        Advisory: a newer claim may stand in the log unread. Effects must wait for a verdict.
+        Advisory only: the log may hold a newer claim that has not been read yet. Side effects must wait for a
+        verdict.
         """
         return self.fold.ownership.is_held_by(self._instance_id)
 
     async def run(self) -> None:
-        """Tail and write until cancelled."""
+        """Tail the log and write to it until cancelled."""
         await self._restore()
         async with anyio.create_task_group() as group:
             group.start_soon(self._tail)
             group.start_soon(self._write)
 
     async def wait_until(self, predicate: Callable[[], bool]) -> None:
-        """Return once the predicate holds; it is tested after each change of the fold."""
+        """Wait until the predicate holds; it is evaluated after each change of the fold."""
         while not predicate():
             await self._changed.wait()
 
     async def claim(self) -> bool:
-        """Append a claim of the next epoch and return whether this instance owns the stream after it.
+        """Append a claim of the next epoch and return whether this instance then owns the stream.
 
-        A claim whose reply is lost may still land later; then the tail finds this instance the owner.
+        A claim whose reply is lost may still take effect later; this instance becomes the owner when it reads
+        the claim.
         """
         epoch = self.fold.ownership.epoch + 1
         await self._append_once(Envelope(epoch, self._instance_id, Claim()))
@@ -135,7 +141,7 @@
         return self.is_owner
 
     async def release(self) -> None:
-        """Give the stream up; returns once the release is read back or ownership is lost otherwise."""
+        """Give up the stream; return once the release has been read back or ownership is lost otherwise."""
         while self.is_owner:
             await self._append_once(Envelope(self.fold.ownership.epoch, self._instance_id, Release()))
             with anyio.move_on_after(READ_BACK_SECONDS):
@@ -146,7 +152,7 @@
     ) -> Verdict | Unresolved:
         """Commit one entry and return its verdict once it has been read back.
 
-        Entries waiting at the same time share one record.
+        Entries that wait at the same time share one record.
 
         Args:
             entry: the encoded entry.
@@ -154,28 +160,28 @@
             should_wait_for_log: whether to wait for a log that does not answer, rather than refuse at once.
 
         Returns:
-            `Unresolved` if time ran out after the entry was sent; its ``wait`` gives the verdict later.
+            The verdict, or `Unresolved` if time ran out after the entry was sent.
 
         Raises:
             NotStartedError: the entry was certainly not appended: this instance is not the owner, the
-                log does not answer, too many entries wait, or time ran out before it was sent.
+                log does not answer, too many entries wait, or time ran out before the entry was sent.
         """
         reason = self._reason_to_refuse(should_wait_for_log)
         if reason is not None:
             raise NotStartedError("log.commit", self.stream, reason)
         pending = _Pending(entry)
         self._queue.append(pending)
-        self._notify()
+        self._notify_changed()
         try:
             with anyio.move_on_after(timeout_seconds):
                 return await pending.wait()
         finally:
-            # An entry given up before it was sent must never be sent: its caller hears "not run".
+            # An entry that times out before it is sent must never be sent, since its caller gets "not run".
             was_queued = pending in self._queue
             if was_queued:
                 self._queue.remove(pending)
         if was_queued:
-            raise NotStartedError("log.commit", self.stream, "the log is too slow")
+            raise NotStartedError("log.commit", self.stream, "time ran out before the entry was sent")
         return Unresolved(pending.wait)
 
     def _reason_to_refuse(self, should_wait_for_log: bool) -> str | None:
@@ -199,18 +205,18 @@
                 continue
             self.is_log_reachable = True
             for index, record in enumerate(page.records):
-                # A page that starts elsewhere answers an older question; the offset says which to skip.
+                # A page that starts at another offset answers an earlier read; skip what was applied before.
                 if page.start + index == self.fold.next_offset:
-                    self._settle(self.fold.apply(page.start + index, record))
+                    self._resolve_by(self.fold.apply(page.start + index, record))
             self.is_caught_up = self.fold.next_offset >= page.end_offset
-            self._notify()
+            self._notify_changed()
 
-    def _notify(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _settle(self, applied: Applied) -> None:
-        """Resolve what this record decides about the write in flight."""
+    def _resolve_by(self, applied: Applied) -> None:
+        """Resolve the write in flight if this record decides it."""
         if self._in_flight_key is None:
             return
         epoch, sequence = self._in_flight_key
@@ -224,7 +230,7 @@
         if is_ours and isinstance(applied.verdict, Accepted):
             self._resolve_in_flight(applied.entry_verdicts)
         elif not self.is_owner or self.fold.ownership.epoch != epoch:
-            # No later copy can be accepted either: the epoch is over.
+            # The epoch is over, so no later duplicate can be accepted either.
             reason = Void(self.fold.next_offset - 1, "ownership was lost")
             self._resolve_in_flight((reason,) * len(self._in_flight))
 
@@ -243,7 +249,7 @@
                 await self._write_group()
 
     async def _write_group(self) -> None:
-        """Send one group and stay with it until its verdict is known; one write is in flight at a time."""
+        """Append one group, repeatedly until its verdict is known; one write is in flight at a time."""
         group = self._queue[:MAX_ENTRIES_PER_WRITE]
         del self._queue[: len(group)]
         if not self.is_owner:
@@ -265,7 +271,7 @@
         try:
             await self._log.append(self.stream, msgspec.msgpack.encode(envelope))
         except StepError:
-            # The reply may be lost after the append took effect; reading back tells.
+            # The append may have taken effect although its reply was lost; reading the log back shows which.
             await anyio.sleep(RETRY_PAUSE_SECONDS)
 
     def _is_snapshot_due(self) -> bool:
@@ -277,7 +283,7 @@
         try:
             await self._log.append(SNAPSHOT_PREFIX + self.stream, msgspec.msgpack.encode(snapshot))
         except StepError:
-            # A snapshot only saves reading; the next one is due anyway.
+            # A snapshot only shortens later reading, and the next one will be written anyway.
             return
 
     async def _restore(self) -> None:
