--- a/src/worksramp/coordination/configuration_service.py
+++ b/src/worksramp/coordination/configuration_service.py
@@ -218,7 +218,7 @@
     async def _push_to_some(self) -> None:
         """Push to a few peers, the ones not known to hold the records first."""
         live = self._live_ids()
-        self._staged.forget_dead(live)
+        self._staged.discard_dead(live)
         peers = self._peers.live_peers()
         self._rng.shuffle(peers)
         chosen = peers[:PUSH_FANOUT]
--- a/src/worksramp/coordination/replication.py
+++ b/src/worksramp/coordination/replication.py
@@ -1,9 +1,9 @@
-"""When a configuration record may come into force: only after enough nodes hold it.
+"""Rules for when a configuration record may come into force: only after enough nodes hold it.
 
-A node that serves a revision and then loses its memory must not come back with an older one while the
-log is down. So a record is applied once `NUM_COPIES` live nodes hold it (all of them, if fewer live),
-and a starting node that cannot read the log waits until it has heard from all live nodes but
-``NUM_COPIES - 1``: then at least one holder of every applied record is among them.
+A node that serves a revision and then restarts without its state must not serve an older one while the log is
+unavailable. So a record is applied once `NUM_COPIES` live nodes hold it (all of them, if fewer are live). A
+starting node that cannot read the log waits for answers from all live nodes but ``NUM_COPIES - 1``, so that
+at least one holder of every applied record is among them.
 
 See Also:
     docs/design/configuration.md, "Starting while the log is down"
@@ -18,16 +18,16 @@
 
 
 def num_answers_needed(num_live_others: int) -> int:
-    """Return how many other ready nodes a starting node must hear from while the log is down."""
+    """Return how many other ready nodes must answer a starting node while the log is unavailable."""
     return max(1, num_live_others - (NUM_COPIES - 1))
 
 
 class StagedRecords:
-    """Configuration records held but perhaps not in force yet, and who is known to hold them.
+    """Configuration records that this node holds, in force or not, and which nodes are known to hold them.
 
     Args:
         next_offset: first offset that is not held.
-        max_kept: how many records in force are kept for peers that lag behind.
+        max_kept: number of records up to which those in force are kept, for peers that lag behind.
     """
 
     def __init__(self, next_offset: int, max_kept: int) -> None:
@@ -47,12 +47,16 @@
         return self._start + len(self._records)
 
     def reset(self, next_offset: int) -> None:
-        """Begin again after a snapshot was taken in."""
+        """Discard all records and continue from ``next_offset``, after a snapshot was restored."""
         self._start = next_offset
         self._records = []
 
     def add(self, start: int, records: tuple[bytes, ...]) -> bool:
-        """Add what is new of consecutive records; return whether anything was, False also for a gap."""
+        """Add those of the consecutive records that are not held yet.
+
+        Returns:
+            Whether any record was added; False also if records before ``start`` are missing.
+        """
         if start > self.next_offset:
             return False
         fresh = records[self.next_offset - start :]
@@ -64,7 +68,7 @@
         return tuple(self._records[max(0, offset - self._start) :])
 
     def note_held(self, instance_id: str, next_offset: int) -> None:
-        """Note that another node holds everything below ``next_offset``."""
+        """Record that another node holds everything below ``next_offset``."""
         if next_offset > self._held_by.get(instance_id, -1):
             self._held_by[instance_id] = next_offset
 
@@ -72,13 +76,13 @@
         """Return how many live nodes are known to hold the record, this one included."""
         return 1 + sum(1 for key, held in self._held_by.items() if held > offset and key in live)
 
-    def forget_dead(self, live: frozenset[str]) -> None:
-        """Drop what is known of nodes that are no longer live."""
+    def discard_dead(self, live: frozenset[str]) -> None:
+        """Discard what is recorded of nodes that are no longer live."""
         self._held_by = {key: held for key, held in self._held_by.items() if key in live}
 
     def trim(self, applied_offset: int) -> None:
-        """Drop the oldest records in force beyond ``max_kept``."""
-        num_droppable = min(applied_offset - self._start, len(self._records) - self._max_kept)
-        if num_droppable > 0:
-            del self._records[:num_droppable]
-            self._start += num_droppable
+        """Discard the oldest records in force while more than ``max_kept`` records are kept."""
+        num_discarded = min(applied_offset - self._start, len(self._records) - self._max_kept)
+        if num_discarded > 0:
+            del self._records[:num_discarded]
+            self._start += num_discarded
