--- a/src/worksramp/coordination/shard.py
+++ b/src/worksramp/coordination/shard.py
@@ -1,4 +1,4 @@
-"""What runs while a node owns a shard."""
+"""Interface of the work that runs while a node owns a shard."""
 
 from abc import ABC, abstractmethod
 
@@ -6,11 +6,11 @@
 
 
 class ShardService(ABC):
-    """Work of a shard's owner; it exists only while ownership lasts."""
+    """Work of a shard's owner; exists only while the node owns the shard."""
 
     @abstractmethod
     async def run(self) -> None:
-        """Do the shard's own work until cancelled."""
+        """Do the shard's background work until cancelled."""
 
     @abstractmethod
     async def handle(self, request: NodeRequest) -> NodeReply:
@@ -18,7 +18,7 @@
 
     @abstractmethod
     def figures(self) -> dict[str, int]:
-        """Return counts for operators."""
+        """Return metrics for operators, by name."""
 
     async def drain(self) -> None:  # noqa: B027 - most services have nothing to wait for
-        """Take no new work and return once what is under way is recorded, before a hand-over."""
+        """Accept no new work; return once work in progress is recorded. Called before a handover."""
