--- a/src/worksramp/coordination/ledger.py
+++ b/src/worksramp/coordination/ledger.py
@@ -1,10 +1,11 @@
 """Ledger of requests that must not run twice, as the state of an owned stream.
 
-An owner commits an intent, reads it back, dispatches once and commits the result. When ownership moves
-while an intent has no result, nobody can say whether it ran: it becomes ``UNKNOWN`` for good.
+An owner commits an intent, reads it back, dispatches the request once and commits the result. If ownership
+moves while an intent has no result, no node can tell whether the request ran, so it becomes ``UNKNOWN`` for
+good.
 
-Keys are UUIDs of version 7, whose own time stamp lets the ledger forget: once the horizon has passed a
-key's time, an intent for it is void, so a forgotten key can never run again.
+Keys are version 7 UUIDs, whose timestamp allows old rows to expire: once the horizon has passed a key's time,
+an intent for the key is void, so an expired key can never run again.
 
 See Also:
     docs/design/ledger.md
@@ -22,7 +23,7 @@
 
 
 class Phase(StrEnum):
-    """How far a keyed request has come."""
+    """Progress of a keyed request."""
 
     INTENT = "intent"
     COMPLETED = "completed"
@@ -38,7 +39,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, tag="result"):
-    """The back end answered."""
+    """The backend answered."""
 
     key: str
     status: int
@@ -46,19 +47,19 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag="refusal"):
-    """The back end certainly did not begin; the key may be tried again."""
+    """The backend certainly did not start the request; the key may be used for another attempt."""
 
     key: str
 
 
 class Doubt(msgspec.Struct, frozen=True, tag="doubt"):
-    """The back end may have run the request; its answer was lost."""
+    """The backend may have run the request; its answer was lost."""
 
     key: str
 
 
 class Forget(msgspec.Struct, frozen=True, tag="forget"):
-    """Rows whose key is older than this are dropped, and such keys refused from now on."""
+    """Rows whose key is older than ``before_ms`` expire, and intents for such keys are void from now on."""
 
     before_ms: int
 
@@ -69,7 +70,7 @@
 
 
 class LedgerRow(msgspec.Struct, frozen=True):
-    """What is known of one key."""
+    """Recorded state of one key."""
 
     phase: Phase
     epoch: int
@@ -93,12 +94,18 @@
 
 
 def canonical_key(tenant: str, key: str) -> str:
-    """Return the key under which a tenant's request is recorded; one UUID has many spellings."""
+    """Return the key under which a tenant's request is recorded.
+
+    It is the same for all spellings of a UUID.
+
+    Raises:
+        ValueError: the key is not a UUID.
+    """
     return f"{tenant}/{uuid.UUID(key)}"
 
 
 def shard_of(key: str, num_shards: int) -> int:
-    """Return the ledger slice of a canonical key."""
+    """Return the number of the ledger shard of a canonical key."""
     return xxhash.xxh64_intdigest(key.encode()) % num_shards
 
 
@@ -106,14 +113,14 @@
     """Rows by canonical key.
 
     Attributes:
-        horizon_ms: keys older than this have been forgotten.
+        horizon_ms: keys older than this Unix time in milliseconds have expired.
     """
 
     rows: dict[str, LedgerRow] = {}
     horizon_ms: int = 0
 
     def begin_epoch(self, epoch: int) -> None:
-        """Settle what an older owner left open: it may have dispatched, so the outcome is unknown."""
+        """Set open intents of previous owners to unknown, since those owners may have dispatched them."""
         for key, row in self.rows.items():
             if row.phase is Phase.INTENT:
                 self.rows[key] = msgspec.structs.replace(row, phase=Phase.UNKNOWN)
@@ -129,26 +136,26 @@
                 return self._apply_intent(epoch, decoded)
             case Result():
                 row = LedgerRow(Phase.COMPLETED, epoch, "", decoded.status, decoded.body)
-                return self._close(epoch, decoded.key, row)
+                return self._close_intent(epoch, decoded.key, row)
             case Refusal():
-                return self._close(epoch, decoded.key, LedgerRow(Phase.NOT_RUN, epoch, ""))
+                return self._close_intent(epoch, decoded.key, LedgerRow(Phase.NOT_RUN, epoch, ""))
             case Doubt():
-                return self._close(epoch, decoded.key, LedgerRow(Phase.UNKNOWN, epoch, ""))
+                return self._close_intent(epoch, decoded.key, LedgerRow(Phase.UNKNOWN, epoch, ""))
             case Forget():
                 return self._apply_forget(decoded.before_ms)
 
     def _apply_intent(self, epoch: int, intent: Intent) -> str | None:
         if (key_time_ms(_uuid_part(intent.key)) or 0) < self.horizon_ms:
-            return "key is older than the ledger remembers"
+            return "key is older than the retention horizon"
         row = self.rows.get(intent.key)
         if row is not None and row.phase is not Phase.NOT_RUN:
-            return f"key is {row.phase.value} already"
+            return f"key is already {row.phase.value}"
         if row is not None and row.request_digest != intent.request_digest:
             return "key was used with another request"
         self.rows[intent.key] = LedgerRow(Phase.INTENT, epoch, intent.request_digest)
         return None
 
-    def _close(self, epoch: int, key: str, closing: LedgerRow) -> str | None:
+    def _close_intent(self, epoch: int, key: str, closing: LedgerRow) -> str | None:
         row = self.rows.get(key)
         if row is None or row.phase is not Phase.INTENT or row.epoch != epoch:
             return "no open intent of this epoch"
@@ -157,7 +164,7 @@
 
     def _apply_forget(self, before_ms: int) -> str | None:
         if before_ms <= self.horizon_ms:
-            return "horizon never moves back"
+            return "the horizon cannot move back"
         self.horizon_ms = before_ms
         old = [key for key in self.rows if (key_time_ms(_uuid_part(key)) or 0) < before_ms]
         for key in old:
--- a/tests/unit/test_ledger.py
+++ b/tests/unit/test_ledger.py
@@ -25,7 +25,7 @@
     return state.apply_entry(0, epoch, msgspec.msgpack.encode(entry))
 
 
-def test_a_second_intent_is_void_whatever_became_of_the_first() -> None:
+def test_a_second_intent_is_void_whatever_the_outcome_of_the_first() -> None:
     for closing in (None, Result(KEYS[0], 200, b"x"), Doubt(KEYS[0])):
         state = LedgerState()
         assert apply(state, 1, Intent(KEYS[0], "d")) is None
@@ -42,7 +42,7 @@
     assert apply(state, 1, Intent(KEYS[0], "d")) is None
 
 
-def test_an_intent_left_open_by_a_former_owner_is_unknown_for_good() -> None:
+def test_an_open_intent_of_a_previous_owner_is_unknown_for_good() -> None:
     state = LedgerState()
     apply(state, 1, Intent(KEYS[0], "d"))
     state.begin_epoch(2)
@@ -51,7 +51,7 @@
     assert apply(state, 2, Intent(KEYS[0], "d")) is not None
 
 
-def test_a_forgotten_key_can_never_run_again() -> None:
+def test_an_expired_key_can_never_run_again() -> None:
     state = LedgerState()
     apply(state, 1, Intent(KEYS[0], "d"))
     apply(state, 1, Result(KEYS[0], 200, b""))
@@ -62,7 +62,7 @@
     assert apply(state, 1, Forget(horizon - 1)) is not None
 
 
-def test_one_uuid_has_one_key_however_it_is_spelt() -> None:
+def test_all_spellings_of_a_uuid_give_the_same_key() -> None:
     assert canonical_key("t", UUIDS[0].upper()) == canonical_key("t", "{" + UUIDS[0] + "}")
 
 
@@ -76,7 +76,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(st.tuples(st.booleans(), ENTRIES), max_size=40))
-def test_dispatches_that_may_have_run_happen_at_most_once_a_key(
+def test_at_most_one_dispatch_of_a_key_may_have_run(
     steps: list[tuple[bool, LedgerEntry]],
 ) -> None:
     state, epoch = LedgerState(), 1
