--- a/src/worksramp/coordination/ledger_service.py
+++ b/src/worksramp/coordination/ledger_service.py
@@ -1,7 +1,7 @@
-"""Owner of one ledger slice: runs keyed requests at most once.
+"""Owner of one ledger shard: runs keyed requests at most once.
 
 See Also:
-    worksramp.coordination.ledger: the fold that decides.
+    worksramp.coordination.ledger: the state and its rules.
     docs/design/ledger.md
 """
 
@@ -42,7 +42,7 @@
 RETRY_AFTER_SECONDS = 2.0
 COMMIT_SHARE_OF_DEADLINE = 0.5
 LEDGER_RETENTION_MS = 24 * 3600 * 1000
-FORGET_PERIOD_SECONDS = 600.0
+EXPIRY_PERIOD_SECONDS = 600.0
 DRAIN_POLL_SECONDS = 0.05
 
 Dispatch = Callable[[ExecuteOnce], Awaitable[ApplicationReply]]
@@ -52,20 +52,20 @@
 
 @dataclass(slots=True)
 class Running:
-    """A request from its intent until its end is recorded."""
+    """A request in progress, from its intent until its outcome is recorded."""
 
     digest: str
     finished: anyio.Event = field(default_factory=anyio.Event)
     outcome: ExecutionOutcome | None = None
 
     def finish(self, outcome: ExecutionOutcome) -> None:
-        """Give every waiting caller this outcome."""
+        """Set the outcome and return it to every waiting caller."""
         self.outcome = outcome
         self.finished.set()
 
 
 def digest_request(request: ExecuteOnce) -> str:
-    """Return a digest that tells one request from another under the same key."""
+    """Return a digest that distinguishes different requests under the same key."""
     content = b"\x00".join(
         (request.application.encode(), request.method.encode(), request.path.encode(), request.body)
     )
@@ -73,13 +73,13 @@
 
 
 class LedgerService(ShardService):
-    """Runs keyed requests of one slice.
+    """Service that runs the keyed requests of one ledger shard.
 
     Args:
-        replica: the slice's stream, owned by this node.
-        dispatch: sends a request to a back end, once, without any retry.
-        background: outlives this service, so that a request under way is not cut by a hand-over.
-        wall_clock_ms: Unix time in milliseconds; used only to forget old rows.
+        replica: the shard's stream, owned by this node.
+        dispatch: sends a request to a backend once, without retries.
+        background: outlives this service, so that a handover does not abort a request in progress.
+        wall_clock_ms: returns Unix time in milliseconds; used only to expire old rows.
     """
 
     def __init__(
@@ -97,17 +97,17 @@
         self._is_draining = False
 
     async def run(self) -> None:
-        """Drop rows that have outlived the retention time."""
+        """Expire rows that are older than the retention time, until cancelled."""
         while True:
-            await anyio.sleep(FORGET_PERIOD_SECONDS)
+            await anyio.sleep(EXPIRY_PERIOD_SECONDS)
             before_ms = self._wall_clock_ms() - LEDGER_RETENTION_MS
             try:
-                await self._replica.commit(encode_entry(Forget(before_ms)), FORGET_PERIOD_SECONDS)
+                await self._replica.commit(encode_entry(Forget(before_ms)), EXPIRY_PERIOD_SECONDS)
             except NotStartedError:
                 continue
 
     async def handle(self, request: NodeRequest) -> NodeReply:
-        """Answer `ExecuteOnce`."""
+        """Answer `ExecuteOnce`; while draining, answer that this node is not the owner."""
         if not isinstance(request, ExecuteOnce) or self._is_draining:
             return NotOwner()
         return to_execute_reply(await self.execute(request))
@@ -117,16 +117,16 @@
         return {"num_rows": len(self._replica.state.rows), "num_running": len(self._running)}
 
     async def drain(self) -> None:
-        """See `ShardService.drain`: an intent handed over without its result would become unknown."""
+        """See `ShardService.drain`; an intent handed over without its result would become unknown."""
         self._is_draining = True
         while self._running:
             await anyio.sleep(DRAIN_POLL_SECONDS)
 
     async def execute(self, request: ExecuteOnce) -> ExecutionOutcome:
-        """Run a request at most once, or say what became of it.
+        """Run a request at most once and return its outcome, which may be the one recorded before.
 
-        The answer comes within the request's deadline; work under way goes on behind it, so that its
-        result is recorded for a repeat.
+        It returns within the request's deadline. Work in progress continues in the background, so that its
+        result is recorded for a retry.
         """
         digest = digest_request(request)
         running = self._running.get(request.key)
@@ -138,15 +138,15 @@
                 return known
             running = Running(digest)
             self._running[request.key] = running
-            self._background.start_soon(self._run_behind, request, running)
+            self._background.start_soon(self._run_in_background, request, running)
         with anyio.move_on_after(request.deadline_seconds):
             await running.finished.wait()
         if running.outcome is not None:
             return running.outcome
         return OutcomeUnknown("ledger.execute", request.application, "the deadline passed while it ran")
 
-    async def _run_behind(self, request: ExecuteOnce, running: Running) -> None:
-        """Run a request, answer whoever waits, then record its end."""
+    async def _run_in_background(self, request: ExecuteOnce, running: Running) -> None:
+        """Run a request, answer the waiting callers, then record the outcome."""
         try:
             refusal = await self._commit_intent(request, running)
             if refusal is not None:
@@ -170,15 +170,15 @@
         """Commit the intent; return None if the request may now be dispatched, else its outcome."""
         digest = running.digest
         intent = encode_entry(Intent(request.key, digest))
-        patience = request.deadline_seconds * COMMIT_SHARE_OF_DEADLINE
+        commit_timeout = request.deadline_seconds * COMMIT_SHARE_OF_DEADLINE
         stream = self._replica.stream
         try:
-            verdict = await self._replica.commit(intent, patience)
+            verdict = await self._replica.commit(intent, commit_timeout)
         except NotStartedError as error:
             return NotRun(error.step, error.peer, error.reason, RETRY_AFTER_SECONDS)
         if isinstance(verdict, Unresolved):
             refusal = NotRun("ledger.intent", stream, "the log did not confirm in time", RETRY_AFTER_SECONDS)
-            # The caller is answered now; the key stays in use here until its intent is withdrawn.
+            # The caller is answered now, but the key stays in use until its intent has been withdrawn.
             running.finish(refusal)
             await self._withdraw(request.key, verdict)
             return refusal
@@ -188,7 +188,7 @@
         return known or NotRun("ledger.intent", stream, verdict.reason, RETRY_AFTER_SECONDS)
 
     async def _withdraw(self, key: str, unresolved: Unresolved) -> None:
-        """Close an intent that was given up before dispatch, once it turns out to stand in the log."""
+        """Wait for the verdict on an intent that timed out before dispatch; close it if it was accepted."""
         verdict: Verdict = await unresolved.wait()
         if isinstance(verdict, Accepted):
             await self._record(Refusal(key))
@@ -205,7 +205,7 @@
         return Completed(reply.status, reply.body), result
 
     async def _record(self, closing: Closing) -> None:
-        """Record how a request ended; without ownership the next owner holds it as unknown."""
+        """Record the outcome of a request; if ownership was lost, the next owner treats it as unknown."""
         try:
             await self._replica.commit(encode_entry(closing), should_wait_for_log=True)
         except StepError:
@@ -213,11 +213,11 @@
 
 
 def _outcome_of(row: LedgerRow) -> ExecutionOutcome | None:
-    """Return the outcome that a repeat of a recorded request gets, None if it may run."""
+    """Return the outcome that a retry of a recorded request gets, None if it may run."""
     match row.phase:
         case Phase.COMPLETED:
             return Completed(row.status, row.body)
         case Phase.NOT_RUN:
             return None
         case Phase.UNKNOWN | Phase.INTENT:
-            return OutcomeUnknown("ledger.lookup", "", f"an earlier try is {row.phase.value}")
+            return OutcomeUnknown("ledger.lookup", "", f"an earlier attempt is {row.phase.value}")
