--- a/src/worksramp/coordination/fold.py
+++ b/src/worksramp/coordination/fold.py
@@ -2,11 +2,11 @@
 
 A stream holds claims, releases and writes. A claim is accepted iff its epoch is the current epoch plus
 one; a write is accepted iff it carries the current epoch, the owner's id and the next sequence number.
-Every reader folds the same records in the same order and so reaches the same verdicts. No clock takes
-part: a paused owner that wakes up after a newer claim writes records that are void.
+Every reader folds the same records in the same order and so reaches the same verdicts. No clock is involved:
+records that a paused owner writes after a newer claim are void.
 
 See Also:
-    docs/design/log.md: the alternatives weighed.
+    docs/design/log.md: the alternatives considered.
 """
 
 from typing import Generic, Protocol, TypeVar
@@ -19,15 +19,15 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """The owner gives ownership up, so that the next claim need not wait for its death."""
+    """The owner gives up ownership, so that the next claim need not wait until the owner is dead."""
 
 
 class Write(msgspec.Struct, frozen=True, tag="write"):
     """A group of entries committed together.
 
     Attributes:
-        sequence: 1 for the owner's first write of an epoch, then one more each time. A copy that was
-            appended twice because a reply was lost carries the same number and is void.
+        sequence: 1 for the owner's first write of an epoch, then one more for each write. A duplicate,
+            appended because a reply was lost, carries the same number and is void.
     """
 
     sequence: int
@@ -38,7 +38,7 @@
     """One log record.
 
     Attributes:
-        writer: instance id of the writing process; a restarted process has another one.
+        writer: instance id of the writing process; a restarted process has a different one.
     """
 
     epoch: int
@@ -53,7 +53,7 @@
 
 
 class Void(msgspec.Struct, frozen=True, tag="void"):
-    """The record or entry had no effect, now or ever."""
+    """The record or entry had no effect and never will."""
 
     offset: int
     reason: str
@@ -63,7 +63,7 @@
 
 
 class Ownership(msgspec.Struct, frozen=True):
-    """Who owns a stream as of some offset; ``owner`` is empty before the first claim."""
+    """Owner of a stream as of some offset; ``owner`` is empty before the first claim."""
 
     epoch: int = 0
     owner: str = ""
@@ -75,20 +75,29 @@
 
 
 class StreamState(Protocol):
-    """What the entries of a stream fold into; a mutable msgspec Struct, so that it can be snapshotted."""
+    """State that a stream's entries are folded into.
+
+    It is a mutable msgspec Struct, so that a snapshot can hold it.
+    """
 
     def apply_entry(self, offset: int, epoch: int, entry: bytes) -> str | None:
-        """Apply one entry; return the reason if it is void, None if it took effect."""
+        """Apply one entry; return None if it took effect, else the reason why it is void."""
 
     def begin_epoch(self, epoch: int) -> None:
-        """Note that a new owner took over; what the old one left open is settled here."""
+        """Handle a takeover: resolve the operations that the previous owner left unfinished."""
 
 
 StateT = TypeVar("StateT", bound=StreamState)
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """What folding one record gave: a verdict a record, and one for each entry of a write."""
+    """Result of folding one record.
+
+    Attributes:
+        envelope: the decoded record, None if it is undecodable.
+        verdict: verdict on the record.
+        entry_verdicts: one verdict for each entry of an accepted write.
+    """
 
     envelope: Envelope | None
     verdict: Verdict
@@ -96,7 +105,7 @@
 
 
 class StreamFold(Generic[StateT]):
-    """Mutable fold of one stream; `apply` must be given every record in offset order."""
+    """Mutable fold of one stream; `apply` must be called with every record in order of offset."""
 
     def __init__(self, state: StateT) -> None:
         self.state = state
@@ -109,15 +118,15 @@
         """Fold one record.
 
         Args:
-            offset: its place in the stream; must be ``next_offset``.
-            record: the bytes as read from the log; anything undecodable is void, not an error,
-                since a foreign writer must not stop every reader.
+            offset: offset of the record; must be ``next_offset``.
+            record: bytes as read from the log. An undecodable record is void rather than an error, since a
+                foreign writer must not stop every reader.
 
         Raises:
             ValueError: a record was skipped or repeated.
         """
         if offset != self.next_offset:
-            raise ValueError(f"offset {offset} given, {self.next_offset} expected")
+            raise ValueError(f"expected offset {self.next_offset}, got {offset}")
         self.next_offset = offset + 1
         try:
             envelope = self._decoder.decode(record)
@@ -134,23 +143,23 @@
     def _apply_claim(self, offset: int, envelope: Envelope) -> Verdict:
         expected = self.ownership.epoch + 1
         if envelope.epoch != expected:
-            return Void(offset, f"claim of epoch {envelope.epoch}, {expected} is next")
+            return Void(offset, f"expected a claim of epoch {expected}, got {envelope.epoch}")
         self.ownership = Ownership(epoch=envelope.epoch, owner=envelope.writer, is_released=False)
         self.last_sequence = 0
         self.state.begin_epoch(envelope.epoch)
         return Accepted(offset)
 
     def _apply_release(self, offset: int, envelope: Envelope) -> Verdict:
-        reason = self._reason_not_owner(envelope)
+        reason = self._ownership_fault(envelope)
         if reason is not None:
             return Void(offset, reason)
         self.ownership = msgspec.structs.replace(self.ownership, is_released=True)
         return Accepted(offset)
 
     def _apply_write(self, offset: int, envelope: Envelope, write: Write) -> Applied:
-        reason = self._reason_not_owner(envelope)
+        reason = self._ownership_fault(envelope)
         if reason is None and write.sequence != self.last_sequence + 1:
-            reason = f"sequence {write.sequence}, {self.last_sequence + 1} is next"
+            reason = f"expected sequence {self.last_sequence + 1}, got {write.sequence}"
         if reason is not None:
             return Applied(envelope, Void(offset, reason))
         self.last_sequence = write.sequence
@@ -161,19 +170,19 @@
         reason = self.state.apply_entry(offset, epoch, entry)
         return Accepted(offset) if reason is None else Void(offset, reason)
 
-    def _reason_not_owner(self, envelope: Envelope) -> str | None:
+    def _ownership_fault(self, envelope: Envelope) -> str | None:
         if envelope.epoch != self.ownership.epoch:
-            return f"epoch {envelope.epoch} is over, {self.ownership.epoch} is current"
+            return f"epoch {envelope.epoch} is not the current epoch {self.ownership.epoch}"
         if not self.ownership.is_held_by(envelope.writer):
-            return f"{envelope.writer} does not hold epoch {envelope.epoch}"
+            return f"{envelope.writer} does not own epoch {envelope.epoch}"
         return None
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """A folded stream up to ``next_offset``, so that a reader need not start at offset 0.
+    """Folded stream up to ``next_offset``, so that a reader need not start at offset 0.
 
-    The fold is a pure function of the records, so a snapshot stays true whoever wrote it and whenever
-    it arrives: it needs no fencing. ``fold_version`` changes whenever the fold's rules do.
+    The fold is a pure function of the records, so a snapshot is valid whoever wrote it and whenever it is
+    read, and needs no fencing. ``fold_version`` changes whenever the rules of the fold change.
     """
 
     fold_version: int
@@ -195,7 +204,7 @@
 
 
 def restore_snapshot(fold: StreamFold[StateT], snapshot: Snapshot) -> None:
-    """Bring a fresh fold to the point of a snapshot."""
+    """Set a fold to the state of a snapshot."""
     fold.state = msgspec.msgpack.decode(snapshot.state, type=type(fold.state))
     fold.ownership = snapshot.ownership
     fold.last_sequence = snapshot.last_sequence
--- a/tests/unit/test_fold.py
+++ b/tests/unit/test_fold.py
@@ -1,4 +1,4 @@
-"""The log fold: order alone decides, whatever is appended twice, late, or by a former owner."""
+"""The log fold: the order of records decides, also with duplicates, delays and a previous owner's writes."""
 
 import msgspec
 from hypothesis import given, settings
@@ -18,7 +18,7 @@
 
 
 class Entries(msgspec.Struct):
-    """Remembers what took effect."""
+    """State that records which entries and epochs took effect."""
 
     accepted: list[bytes] = []
     epochs: list[int] = []
@@ -40,7 +40,7 @@
     return fold, verdicts
 
 
-def test_a_former_owner_writes_void_records() -> None:
+def test_writes_of_a_previous_owner_are_void() -> None:
     fold, verdicts = fold_of(
         Envelope(1, "a", Claim()),
         Envelope(1, "a", Write(1, (b"one",))),
@@ -59,13 +59,13 @@
     assert fold.state.accepted == [b"one"]
 
 
-def test_of_two_claims_of_one_epoch_the_first_wins() -> None:
+def test_the_first_of_two_claims_of_an_epoch_is_accepted() -> None:
     fold, verdicts = fold_of(Envelope(1, "a", Claim()), Envelope(1, "b", Claim()))
     assert verdicts == ["Accepted", "Void"]
     assert fold.ownership.is_held_by("a")
 
 
-def test_nothing_is_written_after_a_release() -> None:
+def test_writes_after_a_release_are_void() -> None:
     fold, verdicts = fold_of(
         Envelope(1, "a", Claim()), Envelope(1, "a", Release()), Envelope(1, "a", Write(1, (b"x",)))
     )
@@ -73,7 +73,7 @@
     assert fold.ownership.is_released
 
 
-def test_a_foreign_record_is_void_and_stops_nobody() -> None:
+def test_an_undecodable_record_is_void_and_does_not_stop_the_fold() -> None:
     fold = StreamFold(Entries())
     assert isinstance(fold.apply(0, b"\xc1 not msgpack").verdict, Void)
     assert isinstance(fold.apply(1, msgspec.msgpack.encode(Envelope(1, "a", Claim()))).verdict, Accepted)
@@ -90,19 +90,23 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(RECORDS, st.integers(0, 30))
-def test_a_reader_from_a_snapshot_agrees_with_one_from_the_start(envelopes: list[Envelope], cut: int) -> None:
+def test_a_reader_from_a_snapshot_agrees_with_one_from_the_start(
+    envelopes: list[Envelope], snapshot_offset: int
+) -> None:
     records = [msgspec.msgpack.encode(envelope) for envelope in envelopes]
-    whole = StreamFold(Entries())
+    from_start = StreamFold(Entries())
     resumed = StreamFold(Entries())
     for offset, record in enumerate(records):
-        if offset == cut:
-            snapshot = msgspec.msgpack.encode(take_snapshot(whole, 1))
-            restore_snapshot(resumed, msgspec.msgpack.decode(snapshot, type=type(take_snapshot(whole, 1))))
-        verdict = whole.apply(offset, record).verdict
-        if offset >= cut:
+        if offset == snapshot_offset:
+            snapshot = msgspec.msgpack.encode(take_snapshot(from_start, 1))
+            restore_snapshot(
+                resumed, msgspec.msgpack.decode(snapshot, type=type(take_snapshot(from_start, 1)))
+            )
+        verdict = from_start.apply(offset, record).verdict
+        if offset >= snapshot_offset:
             assert resumed.apply(offset, record).verdict == verdict
-    if cut < len(records):
-        assert (resumed.state, resumed.ownership) == (whole.state, whole.ownership)
+    if snapshot_offset < len(records):
+        assert (resumed.state, resumed.ownership) == (from_start.state, from_start.ownership)
 
 
 @settings(derandomize=True, max_examples=200)
