--- a/src/worksramp/coordination/configuration.py
+++ b/src/worksramp/coordination/configuration.py
@@ -1,7 +1,7 @@
-"""Configuration by expected revision, as a fold of one shared stream that nobody owns.
+"""Configuration with optimistic concurrency, as a fold of one shared stream that has no owner.
 
-A publish is accepted iff its expected revision is the tenant's current one and its document is valid
-under the schema version it names. Every node folds the same verdicts, in order, and never backwards.
+A publish is accepted iff its expected revision is the tenant's current one and its document is valid under
+the schema version it names. Every node reaches the same verdicts in the same order and never moves back.
 
 See Also:
     docs/design/configuration.md
@@ -13,7 +13,7 @@
 
 from worksramp.coordination.fold import Accepted, Void
 
-MAX_REMEMBERED_CHANGES = 2_000
+MAX_KEPT_VERDICTS = 2_000
 
 
 class Publish(msgspec.Struct, frozen=True):
@@ -21,8 +21,8 @@
 
     Attributes:
         change_id: chosen by the publisher; a second record with the same id has no effect.
-        expected_revision: the tenant's revision that this change was made from; 0 for the first.
-        schema_version: the frozen rules under which the document is checked.
+        expected_revision: revision that this change is based on; 0 for the tenant's first.
+        schema_version: version of the frozen rules that the document is checked against.
     """
 
     change_id: str
@@ -33,13 +33,13 @@
 
 
 class Conflict(msgspec.Struct, frozen=True, tag="conflict"):
-    """Another change came first."""
+    """Another change was accepted first."""
 
     current_revision: int
 
 
 class Invalid(msgspec.Struct, frozen=True, tag="invalid"):
-    """The document breaks a rule; ``path`` names the field."""
+    """The document violates a rule; ``path`` names the field."""
 
     path: str
     reason: str
@@ -53,7 +53,7 @@
 
 
 class Unsupported(msgspec.Struct, frozen=True, tag="unsupported"):
-    """This release does not know the schema version and cannot judge the change."""
+    """This release does not support the schema version and cannot check the change."""
 
     schema_version: int
 
@@ -63,7 +63,7 @@
 
 
 class TenantConfiguration(msgspec.Struct, frozen=True):
-    """What is in force for one tenant."""
+    """Configuration in force for one tenant."""
 
     tenant: str
     revision: int
@@ -85,7 +85,7 @@
     """Fold of the configuration stream.
 
     Args:
-        validators: the frozen check of each schema version this release knows.
+        validators: the frozen validator of each schema version that this release supports.
     """
 
     def __init__(self, validators: Mapping[int, Validator]) -> None:
@@ -96,22 +96,26 @@
         self._verdicts: dict[str, PublishVerdict] = {}
 
     def apply(self, offset: int, record: bytes) -> Accepted | Void:
-        """Fold one record; records at other offsets than the next are a caller's error.
+        """Fold one record and return whether it took effect.
+
+        Args:
+            offset: offset of the record; must be ``next_offset``.
+            record: bytes as read from the log; an undecodable record is void.
 
         Raises:
             ValueError: a record was skipped or repeated.
         """
         if offset != self.next_offset:
-            raise ValueError(f"offset {offset} given, {self.next_offset} expected")
+            raise ValueError(f"expected offset {self.next_offset}, got {offset}")
         self.next_offset = offset + 1
         try:
             publish = msgspec.msgpack.decode(record, type=Publish)
         except msgspec.DecodeError as error:
             return Void(offset, f"undecodable: {error}")
         if publish.change_id in self._verdicts:
-            return Void(offset, "change id was seen before")
-        verdict = self._judge(offset, publish)
-        self._remember(publish.change_id, verdict)
+            return Void(offset, "duplicate change id")
+        verdict = self._evaluate(offset, publish)
+        self._keep_verdict(publish.change_id, verdict)
         if not isinstance(verdict, InForce):
             return Void(offset, type(verdict).__name__)
         self.tenants[publish.tenant] = TenantConfiguration(
@@ -120,12 +124,12 @@
         return Accepted(offset)
 
     def snapshot(self) -> ConfigurationSnapshot:
-        """Return the state as it stands; it shares nothing mutable with the fold."""
+        """Return a snapshot of the current state, which shares nothing mutable with the fold."""
         stalled = tuple(sorted(self.stalled_tenants))
         return ConfigurationSnapshot(self.next_offset, dict(self.tenants), stalled, dict(self._verdicts))
 
     def restore(self, snapshot: ConfigurationSnapshot) -> bool:
-        """Jump forward to a snapshot; one that is not newer is ignored, since nothing moves back."""
+        """Move forward to a snapshot; return whether it was newer, since the fold never moves back."""
         if snapshot.next_offset <= self.next_offset:
             return False
         self.next_offset = snapshot.next_offset
@@ -135,7 +139,7 @@
         return True
 
     def verdict_of(self, change_id: str) -> PublishVerdict | None:
-        """Return what became of a change, None if it has not been read (or was long ago)."""
+        """Return the verdict on a change, None if the change has not been read or its verdict was evicted."""
         return self._verdicts.get(change_id)
 
     def revision_of(self, tenant: str) -> int:
@@ -143,7 +147,7 @@
         current = self.tenants.get(tenant)
         return current.revision if current else 0
 
-    def _judge(self, offset: int, publish: Publish) -> PublishVerdict:
+    def _evaluate(self, offset: int, publish: Publish) -> PublishVerdict:
         if publish.tenant in self.stalled_tenants:
             return Unsupported(publish.schema_version)
         current_revision = self.revision_of(publish.tenant)
@@ -151,12 +155,12 @@
             return Conflict(current_revision)
         validator = self._validators.get(publish.schema_version)
         if validator is None:
-            # A newer release may accept this; whatever follows for the tenant cannot be judged here.
+            # A newer release may accept this change, so this one cannot check the tenant's later changes.
             self.stalled_tenants.add(publish.tenant)
             return Unsupported(publish.schema_version)
         return validator(publish.document) or InForce(current_revision + 1, offset)
 
-    def _remember(self, change_id: str, verdict: PublishVerdict) -> None:
+    def _keep_verdict(self, change_id: str, verdict: PublishVerdict) -> None:
         self._verdicts[change_id] = verdict
-        if len(self._verdicts) > MAX_REMEMBERED_CHANGES:
+        if len(self._verdicts) > MAX_KEPT_VERDICTS:
             del self._verdicts[next(iter(self._verdicts))]
--- a/tests/unit/test_configuration.py
+++ b/tests/unit/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration's fold, its documents, and when a record may come into force."""
+"""The fold of the configuration, the checks of documents, and when a record may come into force."""
 
 import msgspec
 import pytest
@@ -20,7 +20,7 @@
 
 
 def with_parameters(**parameters: object) -> dict[str, object]:
-    """Return a document that is good but for the parameters."""
+    """Return a document that is valid except perhaps for the parameters."""
     return {
         "models": {"m": "f"},
         "templates": {"t": JOB},
@@ -37,7 +37,7 @@
     return ConfigurationFold({1: validate_document})
 
 
-def test_of_racing_changes_the_first_in_the_log_wins() -> None:
+def test_the_first_of_concurrent_changes_in_the_log_is_accepted() -> None:
     fold = new_fold()
     assert isinstance(fold.apply(0, record("a", 0)), Accepted)
     assert isinstance(fold.apply(1, record("b", 0)), Void)
@@ -53,7 +53,7 @@
     assert fold.revision_of("tenant") == 1
 
 
-def test_an_unknown_schema_version_stalls_its_tenant_and_no_other() -> None:
+def test_an_unknown_schema_version_stalls_only_its_tenant() -> None:
     fold = new_fold()
     fold.apply(0, record("a", 0))
     fold.apply(1, record("b", 1, version=2))
@@ -91,19 +91,19 @@
         ({"max_live_concurrency": 2**70}, "max_live_concurrency"),
     ],
 )
-def test_a_bad_document_names_the_field(document: object, path: str) -> None:
+def test_an_invalid_document_names_the_field(document: object, path: str) -> None:
     problem = validate_document(msgspec.json.encode(document))
     assert isinstance(problem, Invalid)
     assert problem.path == path
     assert problem.reason
 
 
-def test_a_good_document_is_good() -> None:
+def test_a_valid_document_is_accepted() -> None:
     assert validate_document(msgspec.json.encode(with_parameters())) is None
 
 
-def test_a_record_needs_copies_and_a_start_needs_answers_that_must_meet() -> None:
-    # Of n live nodes, c hold a record; a starting node hears from a of the n - 1 others: they meet.
+def test_the_answers_to_a_starting_node_include_a_holder_of_each_applied_record() -> None:
+    # The holders of a record and the nodes that answer a starting node, of num_live - 1 others, must overlap.
     for num_live in range(2, 50):
         num_copies = num_copies_needed(num_live)
         num_answers = num_answers_needed(num_live - 1)
