--- a/src/worksramp/coordination/configuration_service.py
+++ b/src/worksramp/coordination/configuration_service.py
@@ -1,7 +1,7 @@
-"""Shell around the configuration fold: tail the log, spread records, publish changes.
+"""I/O around the configuration fold: tail the log, replicate records, publish changes.
 
 See Also:
-    worksramp.coordination.replication: when a record may come into force.
+    worksramp.coordination.replication: rules for when a record may come into force.
     docs/design/configuration.md
 """
 
@@ -53,9 +53,9 @@
     """One node's view of the configuration.
 
     Args:
-        validators: the frozen check of each schema version this release knows.
+        validators: the frozen validator of each schema version that this release supports.
         rng: chooses the peers that records are pushed to.
-        on_change: called after a record came into force.
+        on_change: called for each tenant's configuration that came into force.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._on_change = on_change
         self._staged = StagedRecords(0, MAX_KEPT_RECORDS)
         self._changed = anyio.Event()
-        self._staged_more = anyio.Event()
+        self._records_staged = anyio.Event()
 
     @property
     def held_offset(self) -> int:
@@ -87,17 +87,18 @@
         """Follow the stream until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._tail)
-            group.start_soon(self._spread)
+            group.start_soon(self._replicate)
             group.start_soon(self._start_from_peers)
 
     async def wait_changed(self) -> None:
-        """Return after the next record that comes into force."""
+        """Wait until the fold has changed: by a record that was applied or by a snapshot."""
         await self._changed.wait()
 
     async def publish(self, change: Publish, timeout_seconds: float) -> PublishVerdict | None:
         """Append a change and return its verdict, None if it is not known in time.
 
-        With None the change may still be accepted; asking again with the same change id tells.
+        After None the change may still be accepted; publishing it again under the same change id gives the
+        verdict.
         """
         record = msgspec.msgpack.encode(change)
         with anyio.move_on_after(timeout_seconds):
@@ -105,7 +106,7 @@
                 try:
                     await self._log.append(STREAM, record)
                 except StepError:
-                    # It may have been appended; a second copy is void by its change id.
+                    # It may have been appended; a duplicate is void by its change id.
                     await anyio.sleep(RETRY_PAUSE_SECONDS)
                 with anyio.move_on_after(READ_BACK_SECONDS):
                     while self.fold.verdict_of(change.change_id) is None:
@@ -113,12 +114,12 @@
         return self.fold.verdict_of(change.change_id)
 
     def handle_push(self, push: PushConfiguration) -> NodeReply:
-        """Hold records that a peer sent."""
-        self._hold(push.start, push.records)
+        """Hold the records that a peer sent, and answer how far this node holds the stream."""
+        self._stage(push.start, push.records)
         return ConfigurationHeld(self.held_offset)
 
     def handle_pull(self, pull: PullConfiguration) -> NodeReply:
-        """Return the records that a peer lacks, with a snapshot if they begin before what is kept."""
+        """Return the records that a peer lacks, with a snapshot if some of them are no longer kept."""
         if pull.start >= self._staged.start:
             return ConfigurationRecords(pull.start, self._staged.since(pull.start), b"", self.is_ready)
         snapshot = self.fold.snapshot()
@@ -127,7 +128,7 @@
         return ConfigurationRecords(snapshot.next_offset, records, encoded, self.is_ready)
 
     async def pull_from(self, address: str) -> bool:
-        """Fetch what a peer holds beyond this node; return whether a ready peer answered."""
+        """Fetch the records that a peer holds and this node lacks; return whether a ready peer answered."""
         request = PullConfiguration(self.held_offset)
         try:
             reply = await self._peers.call(address, request, PULL_TIMEOUT_SECONDS)
@@ -136,11 +137,11 @@
         if not isinstance(reply, ConfigurationRecords):
             return False
         if reply.snapshot:
-            self._take_snapshot(msgspec.msgpack.decode(reply.snapshot, type=ConfigurationSnapshot))
-        self._hold(reply.start, reply.records)
+            self._apply_snapshot(msgspec.msgpack.decode(reply.snapshot, type=ConfigurationSnapshot))
+        self._stage(reply.start, reply.records)
         return reply.is_ready
 
-    def _take_snapshot(self, snapshot: ConfigurationSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: ConfigurationSnapshot) -> None:
         if not self.fold.restore(snapshot):
             return
         if snapshot.next_offset > self._staged.next_offset:
@@ -149,12 +150,12 @@
             self._on_change(tenant)
         self._notify_changed()
 
-    def _hold(self, start: int, records: tuple[bytes, ...]) -> None:
+    def _stage(self, start: int, records: tuple[bytes, ...]) -> None:
         if not self._staged.add(start, records):
             return
         self._membership.configuration_offset = self.held_offset
-        self._staged_more.set()
-        self._staged_more = anyio.Event()
+        self._records_staged.set()
+        self._records_staged = anyio.Event()
 
     def _notify_changed(self) -> None:
         self._changed.set()
@@ -169,7 +170,7 @@
             except StepError:
                 await anyio.sleep(RETRY_PAUSE_SECONDS)
                 continue
-            self._hold(page.start, page.records)
+            self._stage(page.start, page.records)
             if not self.is_ready and self.held_offset >= page.end_offset:
                 await self._become_ready("log")
 
@@ -179,9 +180,9 @@
             if end_offset == 0:
                 return
             page = await self._log.read(SNAPSHOT_STREAM, end_offset - 1, 1, 0.0)
-            self._take_snapshot(msgspec.msgpack.decode(page.records[0], type=ConfigurationSnapshot))
+            self._apply_snapshot(msgspec.msgpack.decode(page.records[0], type=ConfigurationSnapshot))
         except (StepError, msgspec.DecodeError) as error:
-            # Reading from offset 0 gives the same state, only later.
+            # Reading the stream from offset 0 gives the same state, only more slowly.
             logger.warning("configuration_snapshot_unused", reason=str(error))
 
     async def _become_ready(self, source: str) -> None:
@@ -193,36 +194,36 @@
             logger.info("configuration_ready", source=source, offset=self.fold.next_offset)
 
     async def _start_from_peers(self) -> None:
-        """While the log has not answered, hear from enough peers instead."""
-        heard: set[str] = set()
+        """Become ready by answers from enough peers, unless the log makes this node ready first."""
+        answered: set[str] = set()
         while not self.is_ready:
             await anyio.sleep(RETRY_PAUSE_SECONDS)
             others = self._peers.live_peers()
             for member in others:
-                if member.instance_id not in heard and await self.pull_from(member.address):
-                    heard.add(member.instance_id)
-            num_heard = sum(1 for member in others if member.instance_id in heard)
-            if others and num_heard >= num_answers_needed(len(others)):
+                if member.instance_id not in answered and await self.pull_from(member.address):
+                    answered.add(member.instance_id)
+            num_answered = sum(1 for member in others if member.instance_id in answered)
+            if others and num_answered >= num_answers_needed(len(others)):
                 await self._become_ready("peers")
 
-    async def _spread(self) -> None:
-        """Push what is held to peers until enough hold it, then put it in force, in order."""
+    async def _replicate(self) -> None:
+        """Push held records to peers until enough nodes hold them, then apply them in order."""
         while True:
-            more = self._staged_more
+            records_staged = self._records_staged
             if self.fold.next_offset >= self.held_offset:
-                await more.wait()
+                await records_staged.wait()
                 continue
             await self._push_to_some()
             self._apply_replicated()
 
     async def _push_to_some(self) -> None:
-        """Push to a few peers, the ones not known to hold the records first."""
+        """Push the records that are not in force yet to a few random peers."""
         live = self._live_ids()
         self._staged.discard_dead(live)
         peers = self._peers.live_peers()
         self._rng.shuffle(peers)
         chosen = peers[:PUSH_FANOUT]
-        is_progress = [False]
+        has_answer = [False]
 
         async def push(member: Member) -> None:
             start = self.fold.next_offset
@@ -233,12 +234,12 @@
                 return
             if isinstance(reply, ConfigurationHeld):
                 self._staged.note_held(member.instance_id, reply.next_offset)
-                is_progress[0] = True
+                has_answer[0] = True
 
         async with anyio.create_task_group() as group:
             for member in chosen:
                 group.start_soon(push, member)
-        if chosen and not is_progress[0]:
+        if chosen and not has_answer[0]:
             await anyio.sleep(RETRY_PAUSE_SECONDS)
 
     def _apply_replicated(self) -> None:
@@ -265,7 +266,10 @@
         return frozenset(member.instance_id for member in self._membership.live_members())
 
     async def append_snapshot_if_due(self) -> None:
-        """Write a snapshot to the log every `SNAPSHOT_EVERY` records; any node may, and all agree."""
+        """Write a snapshot to the log every `SNAPSHOT_EVERY` records.
+
+        Any node may write it, since the same records give the same state on all nodes.
+        """
         snapshot = self.fold.snapshot()
         if snapshot.next_offset == 0 or snapshot.next_offset % SNAPSHOT_EVERY != 0:
             return
