--- a/src/worksramp/coordination/membership.py
+++ b/src/worksramp/coordination/membership.py
@@ -1,8 +1,8 @@
-"""SWIM-style membership among nodes: a pure decider of constant cost per node.
+"""SWIM-style membership among nodes: a state machine without I/O, whose cost per node is constant.
 
-Each period a node probes one member; if no acknowledgement comes it asks a few others to probe, then
-suspects, then declares dead. Every message carries a few recent updates. A member refutes a suspicion
-by raising its incarnation.
+Each period a node probes one member. If no acknowledgement comes, it asks a few other members to probe that
+member, then suspects it, then declares it dead. Every message carries a few recent updates. A member refutes
+a suspicion by raising its incarnation.
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol", 2002, with the suspicion and incarnation rules of its section 4.2.
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PullConfiguration:
-    """Instruction: that peer holds configuration records that this node lacks."""
+    """Instruction: fetch configuration records that this node lacks from a peer that holds them."""
 
     address: str
     offset: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusChanged:
-    """Instruction: tell the node that its belief about a member changed."""
+    """Instruction: report that the last known status of a member changed."""
 
     member: Member
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class _Outstanding:
+class _OutstandingProbe:
     """The probe of the current period."""
 
     target: str
@@ -79,7 +79,7 @@
 
     Args:
         self_member: this node.
-        seed: seed of the probe order and of helper choice.
+        seed: seed of the probe order and of the choice of members for indirect probes and joins.
     """
 
     def __init__(self, self_member: Member, seed: int) -> None:
@@ -90,22 +90,22 @@
         self._dead_since: dict[str, float] = {}
         self._transmits_left: dict[str, int] = {}
         self._probe_order: list[str] = []
-        self._outstanding: _Outstanding | None = None
-        self._relayed: dict[int, tuple[str, int]] = {}
+        self._outstanding: _OutstandingProbe | None = None
+        self._relayed_probes: dict[int, tuple[str, int]] = {}
         self._sequence = 0
         self._next_probe_at = 0.0
         self._random = random.Random(seed)
 
     def members(self) -> tuple[Member, ...]:
-        """Return everyone known, dead ones included while they are remembered."""
+        """Return all known members, including dead ones until they expire."""
         return tuple(self._members.values())
 
     def live_members(self) -> tuple[Member, ...]:
-        """Return all that are not dead, this node included."""
+        """Return all members that are not dead, including this node."""
         return tuple(member for member in self._members.values() if member.status is not MemberStatus.DEAD)
 
     def eligible(self, role: str) -> frozenset[str]:
-        """Return instance ids that may own shards of a role: alive or merely suspected, not leaving."""
+        """Return the instance ids that may own shards of a role: alive or suspected, but not draining."""
         return frozenset(
             member.instance_id
             for member in self._members.values()
@@ -113,17 +113,17 @@
         )
 
     def member(self, instance_id: str) -> Member | None:
-        """Return what is believed of one member."""
+        """Return the last known state of a member, None if it is unknown."""
         return self._members.get(instance_id)
 
     def join(self, seed_addresses: tuple[str, ...]) -> list[Instruction]:
-        """Ask seeds for their tables; addresses already known are asked again without harm."""
+        """Ask a few seeds for their member tables; asking a node that is already known does no harm."""
         others = [address for address in seed_addresses if address != self.self_member.address]
         chosen = self._random.sample(others, min(NUM_INDIRECT_PROBES, len(others)))
         return [Send(address, Join(self.self_member)) for address in chosen]
 
     def leave(self) -> list[Instruction]:
-        """Announce that this node is leaving, to a few members at once and by gossip to the rest."""
+        """Announce that this node is draining: to a few members at once, and to the others by gossip."""
         status = MemberStatus.LEAVING
         self.self_member = msgspec.structs.replace(
             self.self_member, status=status, incarnation=self.self_member.incarnation + 1
@@ -132,7 +132,7 @@
         return [self._probe(member.address) for member in self._sample_peers(NUM_INDIRECT_PROBES)]
 
     def tick(self, now: float) -> list[Instruction]:
-        """Advance timers; call at least every `PROBE_TIMEOUT_SECONDS`."""
+        """Advance the timers; must be called at least every `PROBE_TIMEOUT_SECONDS`."""
         instructions = self._expire(now)
         instructions += self._check_outstanding(now)
         if now >= self._next_probe_at:
@@ -167,18 +167,18 @@
         )
         instructions.append(Send(probe.sender_address, reply))
         if sender is None:
-            # Its news has not come this far; its table has it, and whatever else was missed.
+            # No update about the sender has arrived yet; the sender's table has it and other missed updates.
             instructions.append(Send(probe.sender_address, Join(self.self_member)))
         return instructions + self._compare_offset(probe.configuration_offset, probe.sender_address)
 
     def _on_acknowledgement(self, ack: Acknowledgement, now: float) -> list[Instruction]:
         instructions = self._merge(ack.updates, now)
-        relay = self._relayed.pop(ack.sequence, None)
+        relay = self._relayed_probes.pop(ack.sequence, None)
         if relay is not None:
-            asker = self._members.get(relay[0])
-            if asker is not None:
+            requester = self._members.get(relay[0])
+            if requester is not None:
                 forwarded = msgspec.structs.replace(ack, sequence=relay[1], updates=())
-                instructions.append(Send(asker.address, forwarded))
+                instructions.append(Send(requester.address, forwarded))
         if self._is_awaited(ack):
             self._outstanding = None
         subject = self._members.get(ack.subject)
@@ -191,7 +191,7 @@
     def _is_awaited(self, ack: Acknowledgement) -> bool:
         """Return whether this answers the current probe.
 
-        The subject counts: a restarted process answers at its former self's address.
+        The subject must match too, since a restarted process answers at the address of its predecessor.
         """
         waiting = self._outstanding
         return waiting is not None and (waiting.sequence, waiting.target) == (ack.sequence, ack.subject)
@@ -200,7 +200,7 @@
         instructions = self._merge(request.updates, now)
         send = self._probe(request.target_address)
         assert isinstance(send.message, Probe)
-        self._relayed[send.message.sequence] = (request.sender, request.sequence)
+        self._relayed_probes[send.message.sequence] = (request.sender, request.sequence)
         return [*instructions, send]
 
     def _on_join(self, join: Join, now: float) -> list[Instruction]:
@@ -229,12 +229,12 @@
         known = self._members.get(update.instance_id)
         if known is None and update.status is MemberStatus.DEAD:
             return []
-        if known is not None and not _overrides(update, known):
+        if known is not None and not _supersedes(update, known):
             return []
         self._put(update)
         self._note_status(update, now)
-        is_news = known is None or known.status is not update.status
-        return [StatusChanged(update)] if is_news else []
+        is_status_changed = known is None or known.status is not update.status
+        return [StatusChanged(update)] if is_status_changed else []
 
     def _note_status(self, member: Member, now: float) -> None:
         self._suspect_since.pop(member.instance_id, None)
@@ -244,13 +244,13 @@
         if member.status is MemberStatus.DEAD:
             self._dead_since[member.instance_id] = now
 
-    def _refute(self, claim: Member) -> None:
-        """Answer a suspicion of this node with a higher incarnation."""
-        if claim.status in (MemberStatus.ALIVE, MemberStatus.LEAVING):
+    def _refute(self, suspicion: Member) -> None:
+        """Refute a suspicion or death of this node by a higher incarnation."""
+        if suspicion.status in (MemberStatus.ALIVE, MemberStatus.LEAVING):
             return
-        if claim.incarnation < self.self_member.incarnation:
+        if suspicion.incarnation < self.self_member.incarnation:
             return
-        self.self_member = msgspec.structs.replace(self.self_member, incarnation=claim.incarnation + 1)
+        self.self_member = msgspec.structs.replace(self.self_member, incarnation=suspicion.incarnation + 1)
         self._put(self.self_member)
 
     def _put(self, member: Member) -> None:
@@ -259,9 +259,12 @@
         self._transmits_left[member.instance_id] = RETRANSMIT_FACTOR * math.ceil(math.log2(num_members + 1))
 
     def _pick_updates(self, receiver: Member | None = None) -> tuple[Member, ...]:
-        """Choose the least-sent updates; a member thought not alive is told so, to let it refute."""
-        by_need = sorted(self._transmits_left, key=lambda key: -self._transmits_left[key])
-        chosen = by_need[:MAX_UPDATES_PER_MESSAGE]
+        """Choose the least-sent updates.
+
+        A receiver that is not recorded as alive also gets its own state, so that it can refute it.
+        """
+        least_sent = sorted(self._transmits_left, key=lambda key: -self._transmits_left[key])
+        chosen = least_sent[:MAX_UPDATES_PER_MESSAGE]
         for instance_id in chosen:
             self._transmits_left[instance_id] -= 1
             if self._transmits_left[instance_id] <= 0:
@@ -286,11 +289,14 @@
         if target is None:
             return []
         send = self._probe(target.address, target)
-        self._outstanding = _Outstanding(target.instance_id, self._sequence, now)
+        self._outstanding = _OutstandingProbe(target.instance_id, self._sequence, now)
         return [send]
 
     def _next_target(self) -> Member | None:
-        """Walk all members in a random order, renewed each round, so that each is probed in bounded time."""
+        """Return the next member to probe, None without members.
+
+        The order is random and drawn anew each round, so that each member is probed within bounded time.
+        """
         while True:
             if not self._probe_order:
                 self._probe_order = [member.instance_id for member in self._peers()]
@@ -315,21 +321,21 @@
             return self._suspect(target, now)
         if waited >= PROBE_TIMEOUT_SECONDS and not waiting.is_indirect_sent:
             waiting.is_indirect_sent = True
-            return self._ask_helpers(target, waiting.sequence)
+            return self._probe_indirectly(target, waiting.sequence)
         return []
 
-    def _ask_helpers(self, target: Member, sequence: int) -> list[Instruction]:
-        helpers = [
+    def _probe_indirectly(self, target: Member, sequence: int) -> list[Instruction]:
+        relays = [
             member
             for member in self._sample_peers(NUM_INDIRECT_PROBES + 1)
             if member.instance_id != target.instance_id
         ]
         request = IndirectProbe(sequence, self.self_member.instance_id, target.address)
-        return [Send(helper.address, request) for helper in helpers[:NUM_INDIRECT_PROBES]]
+        return [Send(relay_node.address, request) for relay_node in relays[:NUM_INDIRECT_PROBES]]
 
     def _suspect(self, target: Member, now: float) -> list[Instruction]:
         if target.status is MemberStatus.LEAVING:
-            # Leaving must not turn into merely suspect, or the member would count as eligible again.
+            # A draining member must not become suspect, or it would be eligible again.
             self._suspect_since.setdefault(target.instance_id, now)
             return []
         if target.status is not MemberStatus.ALIVE:
@@ -358,8 +364,8 @@
         return self._random.sample(peers, min(count, len(peers)))
 
 
-def _overrides(update: Member, known: Member) -> bool:
-    """Return whether news about a member beats what is known: the higher incarnation, then the graver."""
+def _supersedes(update: Member, known: Member) -> bool:
+    """Return whether an update supersedes the known state: higher incarnation first, then higher status."""
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
     return update.status > known.status
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership deciders wired to each other by a loop that delivers every message at once."""
+"""Membership state machines that are connected by a loop which delivers every message at once."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,8 @@
 TICK_SECONDS = 0.15
 
 
-class Wire:
-    """Delivers messages by address; addresses without a decider swallow them."""
+class Network:
+    """Network that delivers messages by address and discards those to unknown addresses."""
 
     def __init__(self) -> None:
         self.by_address: dict[str, Membership] = {}
@@ -21,7 +21,7 @@
         self.by_address[address] = membership
         return membership
 
-    def carry(self, instructions: list[object]) -> None:
+    def deliver(self, instructions: list[object]) -> None:
         pending = list(instructions)
         while pending:
             instruction = pending.pop(0)
@@ -32,20 +32,20 @@
         end = self.now + seconds
         while self.now < end and not until():
             for membership in list(self.by_address.values()):
-                self.carry(list(membership.tick(self.now)))
+                self.deliver(list(membership.tick(self.now)))
             self.now += TICK_SECONDS
         return until()
 
 
-def joined(num_members: int) -> tuple[Wire, list[Membership]]:
-    wire = Wire()
-    members = [wire.add(f"m{n}.1", f"a{n}", n) for n in range(num_members)]
+def joined(num_members: int) -> tuple[Network, list[Membership]]:
+    network = Network()
+    members = [network.add(f"m{n}.1", f"a{n}", n) for n in range(num_members)]
     for membership in members[1:]:
-        wire.carry(list(membership.join(("a0",))))
-    assert wire.run(
+        network.deliver(list(membership.join(("a0",))))
+    assert network.run(
         30.0, lambda: all(len(membership.live_members()) == num_members for membership in members)
     )
-    return wire, members
+    return network, members
 
 
 def is_dead(membership: Membership, instance_id: str) -> bool:
@@ -54,34 +54,34 @@
 
 
 def test_a_silent_member_is_declared_dead_by_all() -> None:
-    wire, members = joined(5)
-    del wire.by_address["a4"]
-    assert wire.run(20.0, lambda: all(is_dead(member, "m4.1") for member in members[:4]))
+    network, members = joined(5)
+    del network.by_address["a4"]
+    assert network.run(20.0, lambda: all(is_dead(member, "m4.1") for member in members[:4]))
 
 
-def test_a_restarted_member_does_not_keep_its_former_self_alive() -> None:
-    wire, members = joined(4)
-    successor = wire.add("m3.2", "a3", 99)
-    wire.carry(list(successor.join(("a0",))))
+def test_a_restarted_member_does_not_keep_its_predecessor_alive() -> None:
+    network, members = joined(4)
+    successor = network.add("m3.2", "a3", 99)
+    network.deliver(list(successor.join(("a0",))))
     live = [*members[:3], successor]
-    assert wire.run(20.0, lambda: all(is_dead(member, "m3.1") for member in live))
+    assert network.run(20.0, lambda: all(is_dead(member, "m3.1") for member in live))
     assert all(not is_dead(member, "m3.2") for member in live)
 
 
 def test_a_paused_member_returns_under_a_higher_incarnation() -> None:
-    wire, members = joined(4)
-    paused = wire.by_address.pop("a3")
-    assert wire.run(20.0, lambda: all(is_dead(member, "m3.1") for member in members[:3]))
-    wire.by_address["a3"] = paused
-    assert wire.run(20.0, lambda: all(not is_dead(member, "m3.1") for member in members[:3]))
+    network, members = joined(4)
+    paused = network.by_address.pop("a3")
+    assert network.run(20.0, lambda: all(is_dead(member, "m3.1") for member in members[:3]))
+    network.by_address["a3"] = paused
+    assert network.run(20.0, lambda: all(not is_dead(member, "m3.1") for member in members[:3]))
 
 
-def test_a_leaving_member_is_not_eligible_and_never_merely_suspected() -> None:
-    wire, members = joined(4)
-    wire.carry(list(members[3].leave()))
-    wire.run(3.0)
+def test_a_draining_member_is_not_eligible_and_never_suspected() -> None:
+    network, members = joined(4)
+    network.deliver(list(members[3].leave()))
+    network.run(3.0)
     assert all("m3.1" not in member.eligible("coordinator") for member in members[:3])
-    del wire.by_address["a3"]
+    del network.by_address["a3"]
     seen: set[MemberStatus] = set()
 
     def watch() -> bool:
@@ -90,20 +90,20 @@
         )
         return all(is_dead(member, "m3.1") for member in members[:3])
 
-    assert wire.run(20.0, watch)
+    assert network.run(20.0, watch)
     assert MemberStatus.SUSPECT not in seen
 
 
 def test_probes_cost_the_same_whatever_the_number_of_members() -> None:
     counts: list[float] = []
     for num_members in (5, 40):
-        wire, members = joined(num_members)
+        network, members = joined(num_members)
         num_sent = 0
         for _ in range(100):
             for membership in members:
-                instructions = membership.tick(wire.now)
+                instructions = membership.tick(network.now)
                 num_sent += sum(1 for item in instructions if isinstance(item, Send))
-                wire.carry(list(instructions))
-            wire.now += TICK_SECONDS
+                network.deliver(list(instructions))
+            network.now += TICK_SECONDS
         counts.append(num_sent / num_members)
     assert counts[1] <= counts[0] * 1.2
