--- a/src/worksramp/coordination/membership_messages.py
+++ b/src/worksramp/coordination/membership_messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other, and what is believed of one.
+"""Messages of the membership protocol, and the state of a member that they carry.
 
 See Also:
     worksramp.coordination.membership: the state machine that sends and receives these.
@@ -10,7 +10,7 @@
 
 
 class MemberStatus(IntEnum):
-    """In rising order of precedence at equal incarnation."""
+    """Status of a member; at equal incarnation, the higher status takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,12 +19,12 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """What is believed of one node.
+    """Last known state of one node.
 
     Attributes:
-        instance_id: id of the process; a restarted one has another. A member declared dead while it was
-            paused returns under a higher incarnation.
-        roles: names of the roles it runs.
+        instance_id: id of the process; a restarted process has a different one. A member that was declared
+            dead during a pause returns under a higher incarnation.
+        roles: names of the roles that the node runs.
     """
 
     instance_id: str
@@ -37,7 +37,7 @@
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Are you there? The sender's address stands in it, for receivers that do not know the sender."""
+    """Request for an acknowledgement; carries the sender's address in case the receiver does not have it."""
 
     sequence: int
     sender: str
@@ -47,7 +47,7 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """I am here; ``subject`` is the member that is."""
+    """Answer to a probe; ``subject`` is the member that was probed and answered."""
 
     sequence: int
     sender: str
@@ -57,7 +57,7 @@
 
 
 class IndirectProbe(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Please probe ``target_address`` for me."""
+    """Request to probe ``target_address`` on behalf of the sender."""
 
     sequence: int
     sender: str
@@ -66,7 +66,7 @@
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A new member asks a seed for its whole table."""
+    """Request of a new member for a seed's complete table."""
 
     sender: Member
 
