--- a/src/worksramp/coordination/membership_service.py
+++ b/src/worksramp/coordination/membership_service.py
@@ -1,4 +1,4 @@
-"""Shell around the membership decider: timers, datagrams and joining."""
+"""I/O around the membership state machine: timers, datagrams and joining."""
 
 from collections.abc import Awaitable, Callable
 
@@ -26,10 +26,10 @@
 
 
 class MembershipService:
-    """Runs one node's membership.
+    """Service that runs one node's membership.
 
     Args:
-        seeds: returns the addresses of other nodes as the machine list has them.
+        seeds: returns the addresses of other nodes from the machine list.
         pull: called with the address of a node that holds newer configuration.
     """
 
@@ -53,7 +53,7 @@
             group.start_soon(self._join)
 
     async def receive(self, payload: bytes) -> None:
-        """Handle one datagram; a malformed one is dropped."""
+        """Handle one datagram; a malformed one is logged and discarded."""
         try:
             message = _decoder.decode(payload)
         except msgspec.DecodeError:
@@ -62,11 +62,11 @@
         await self.carry_out(self._membership.receive(message, anyio.current_time()))
 
     async def leave(self) -> None:
-        """Announce that this node is leaving."""
+        """Announce that this node is draining."""
         await self.carry_out(self._membership.leave())
 
     async def carry_out(self, instructions: list[Instruction]) -> None:
-        """Do what the decider says."""
+        """Carry out the instructions of the state machine."""
         for instruction in instructions:
             match instruction:
                 case Send():
@@ -83,7 +83,7 @@
                     )
 
     async def _pull_once(self, address: str) -> None:
-        # One pull at a time: every probe that shows a gap would start another.
+        # Only one pull at a time; otherwise every probe that shows a gap would start another.
         if self._is_pulling:
             return
         self._is_pulling = True
@@ -98,7 +98,7 @@
             await anyio.sleep(TICK_SECONDS)
 
     async def _join(self) -> None:
-        """Ask seeds again and again: it heals a partition after which both sides forgot each other."""
+        """Ask seeds periodically, so that a partition heals even after both sides discarded each other."""
         while True:
             await self.carry_out(self._membership.join(self._seeds()))
             is_alone = len(self._membership.live_members()) == 1
