--- a/src/worksramp/coordination/peers.py
+++ b/src/worksramp/coordination/peers.py
@@ -1,4 +1,4 @@
-"""Calls to other nodes through membership: to one member, or to whoever owns a shard."""
+"""Calls to other nodes found through membership: to one member, or to the owner of a shard."""
 
 import msgspec
 
@@ -21,18 +21,18 @@
 
 
 class PeerCaller:
-    """Makes calls to nodes on behalf of one node."""
+    """Caller of other nodes on behalf of one node."""
 
     def __init__(self, transport: Transport, membership: Membership) -> None:
         self._transport = transport
         self._membership = membership
 
     async def call(self, address: str, request: NodeRequest, timeout_seconds: float) -> NodeReply:
-        """Call one node.
+        """Call one node and return its reply.
 
         Raises:
             NotStartedError: the node did not act on the request.
-            InterruptedStepError: it may have.
+            InterruptedStepError: the node may have acted on it.
         """
         payload = await self._transport.call(address, encode_message(request), timeout_seconds)
         reply = decode_reply("peers.call", address, payload)
@@ -43,7 +43,7 @@
         return reply
 
     async def call_owner(self, shard: str, request: NodeRequest, timeout_seconds: float) -> NodeReply:
-        """Call the owner of a shard: first the preferred node, then wherever it points.
+        """Call the owner of a shard: first the preferred node, then the owner that a node names.
 
         Raises:
             NotStartedError: no owner was found, and no node acted on the request.
@@ -65,13 +65,13 @@
                 continue
             if not isinstance(reply, NotOwner):
                 return reply
-            failure = NotStartedError("peers.call_owner", address, f"{shard} has no owner there")
+            failure = NotStartedError("peers.call_owner", address, f"the node does not own {shard}")
             if reply.owner_address:
                 addresses.insert(0, reply.owner_address)
         raise failure
 
     def live_peers(self) -> list[Member]:
-        """Return the other live members."""
+        """Return all live members but this node."""
         own = self._membership.self_member.instance_id
         return [member for member in self._membership.live_members() if member.instance_id != own]
 
