--- a/src/worksramp/coordination/placement.py
+++ b/src/worksramp/coordination/placement.py
@@ -1,6 +1,6 @@
-"""Which node should own a shard: rendezvous hashing, and when to claim or hand over.
+"""Placement of shards: which node should own a shard, by rendezvous hashing, and when to claim or hand over.
 
-Placement only decides who tries; the log decides who owns.
+Placement only decides which node tries to own a shard; the log decides which node owns it.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 def rendezvous_order(key: str, members: Iterable[str]) -> list[str]:
-    """Return the members, best first, by highest random weight for this key.
+    """Return the members in descending order of their random weight for this key.
 
     Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
     """
@@ -34,7 +34,7 @@
 
 
 def preferred_member(key: str, members: Iterable[str]) -> str:
-    """Return the best member for a key, as `rendezvous_order` has it first; empty without members."""
+    """Return the first member of `rendezvous_order` for a key, empty without members."""
     return min(members, key=lambda member: _rank(key, member), default="")
 
 
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementView:
-    """What one node knows when it decides about one shard.
+    """One node's view of one shard, from which it decides.
 
     Attributes:
-        instance_id: this process.
+        instance_id: instance id of this process.
         preferred: instance id of the node that should own the shard; empty if there is none.
-        eligible: instance ids of coordinators believed alive and not leaving, this one included unless
-            it is leaving.
-        ownership: as folded from the shard's stream; None while the stream is not followed or not
+        eligible: instance ids of coordinators that are alive or suspected and not draining, this one
+            included unless it is draining.
+        ownership: ownership as folded from the shard's stream; None while the stream is not followed or not
             caught up.
-        misplaced_seconds: how long the shard's living owner has not been the preferred node.
+        misplaced_seconds: how long the shard has been owned by a node other than the preferred one.
     """
 
     instance_id: str
@@ -66,10 +66,10 @@
 def decide_placement(view: PlacementView) -> PlacementAction:
     """Decide what to do about a shard.
 
-    The preferred node claims when the owner has released, or is not believed alive. A living owner
-    that is no longer preferred hands over after a hold time, so that a flapping member moves nothing.
-    If it does not, the preferred node claims all the same: a claim that landed late can make a node the
-    owner of a stream that it no longer follows, and no claim can do harm.
+    The preferred node claims when the owner has released the shard or is not eligible. An eligible owner that
+    is no longer preferred hands over after a hold time, so that a flapping member does not move shards. If it
+    does not hand over, the preferred node claims all the same: a claim that took effect late can make a node
+    the owner of a stream that it no longer follows, and no claim can do harm.
     """
     is_preferred = view.preferred == view.instance_id
     ownership = view.ownership
@@ -83,5 +83,5 @@
     if not is_preferred:
         return PlacementAction.IGNORE
     is_owner_alive = not ownership.is_released and ownership.owner in view.eligible
-    is_owner_idle = view.misplaced_seconds >= TAKEOVER_SECONDS
-    return PlacementAction.FOLLOW if is_owner_alive and not is_owner_idle else PlacementAction.CLAIM
+    is_takeover_due = view.misplaced_seconds >= TAKEOVER_SECONDS
+    return PlacementAction.FOLLOW if is_owner_alive and not is_takeover_due else PlacementAction.CLAIM
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""When a node follows, claims, serves and hands over a shard."""
+"""Decisions of a node to follow, claim, serve and hand over a shard."""
 
 from worksramp.coordination.fold import Ownership
 from worksramp.coordination.placement import (
@@ -27,12 +27,12 @@
     assert decide_placement(view(PREFERRED, Ownership(3, SECOND, True))) is PlacementAction.CLAIM
 
 
-def test_the_preferred_node_waits_for_a_living_owner() -> None:
+def test_the_preferred_node_waits_for_a_live_owner() -> None:
     assert decide_placement(view(PREFERRED, Ownership(3, SECOND, False))) is PlacementAction.FOLLOW
 
 
-def test_an_owner_that_never_hands_over_is_taken_over_from() -> None:
-    # A claim that landed late can make a node the owner of a stream that it no longer follows.
+def test_the_preferred_node_takes_over_from_an_owner_that_never_hands_over() -> None:
+    # A claim that took effect late can make a node the owner of a stream that it no longer follows.
     ownership = Ownership(3, SECOND, False)
     assert decide_placement(view(PREFERRED, ownership, TAKEOVER_SECONDS)) is PlacementAction.CLAIM
 
