--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of a lease that meet: one is let through, whatever becomes of the answers."""
+"""Concurrent claims of a lease: at most one succeeds, also when answers of the store are lost."""
 
 import random
 from typing import Any
@@ -12,8 +12,8 @@
 from worksramp_emulator.simulation.clock import run_simulated
 
 
-def race(lost_answers: float, seed: int) -> tuple[list[str], str]:
-    """Let four nodes claim at the same moment; return who believes to have won, and whom the log names."""
+def run_concurrent_claims(lost_answers: float, seed: int) -> tuple[list[str], str]:
+    """Make four nodes claim at once; return those whose claim reported success, and the owner in the log."""
     configure_logs("error")
 
     async def main() -> tuple[list[str], str]:
@@ -30,7 +30,7 @@
                 world.start_node(slot)
                 assert slot.node is not None
                 await slot.node.shard.replica.wait_loaded()
-            # No node has a configuration, so that none claims by itself.
+            # No node has a configuration, so none claims on its own.
             world.store.faults.lost_answers = lost_answers
             async with anyio.create_task_group() as claims:
                 for slot in world.slots:
@@ -50,11 +50,11 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_one_of_several_claims_wins(seed: int) -> None:
-    winners, owner = race(0.0, seed)
+    winners, owner = run_concurrent_claims(0.0, seed)
     assert winners == [owner]
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_claim_whose_answer_is_lost_is_found_in_the_log_or_not_believed(seed: int) -> None:
-    winners, owner = race(0.6, seed)
+def test_a_claim_whose_answer_is_lost_succeeds_only_if_it_is_in_the_log(seed: int) -> None:
+    winners, owner = run_concurrent_claims(0.6, seed)
     assert set(winners) <= {owner}
--- a/tests/unit/test_outages.py
+++ b/tests/unit/test_outages.py
@@ -1,4 +1,4 @@
-"""What an outage of the store must not be taken for: a death of the owner, or of workers."""
+"""An outage of the store must not be mistaken for a failure of the owner or of workers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -31,13 +31,13 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_an_owner_that_lives_keeps_its_lease_over_an_outage(seed: int) -> None:
+def test_a_live_owner_keeps_its_lease_over_an_outage(seed: int) -> None:
     async def work(world: BatchWorld) -> None:
         owner = await world.wait_owner()
         assert owner.node is not None
         epoch = owner.node.shard.epoch
         await outage(world, 5.0)
-        # A caller's append shows the other nodes at once that the store is back.
+        # A caller's append shows the other nodes at once that the store is available again.
         world.put(world.records.batches, "e/other", b"1")
         await anyio.sleep(3.0)
         assert owner.node.shard.epoch == epoch
@@ -45,7 +45,7 @@
     play(seed, work)
 
 
-def test_an_owner_that_died_in_an_outage_is_followed_soon_after_it() -> None:
+def test_an_owner_that_died_during_an_outage_is_replaced_soon_after_it() -> None:
     async def work(world: BatchWorld) -> None:
         owner = await world.wait_owner()
         world.store.faults.is_down = True
@@ -73,7 +73,7 @@
     return entries
 
 
-def test_workers_whose_entries_went_with_the_store_stay_usable_until_they_are_back() -> None:
+def test_workers_whose_entries_were_lost_with_the_store_stay_usable_until_they_are_back() -> None:
     async def work(world: BatchWorld) -> None:
         world.store.faults.is_down = True
         await anyio.sleep(4.0)
@@ -91,7 +91,7 @@
     play(1, work)
 
 
-def test_workers_that_do_not_come_back_are_dropped_within_the_bound_of_leaving_ones() -> None:
+def test_workers_that_do_not_come_back_are_removed_within_the_bound_of_draining_ones() -> None:
     async def work(world: BatchWorld) -> None:
         world.store.faults.is_down = True
         await anyio.sleep(4.0)
@@ -103,7 +103,7 @@
     play(1, work)
 
 
-def test_an_entry_that_goes_without_an_outage_is_a_worker_gone() -> None:
+def test_an_entry_removed_without_an_outage_removes_the_worker() -> None:
     async def work(world: BatchWorld) -> None:
         drop_entries(world)
         await anyio.sleep(0.3)
@@ -112,8 +112,12 @@
     play(1, work)
 
 
-def test_a_node_that_alone_is_cut_off_sends_callers_elsewhere_as_soon_as_it_refuses_batches() -> None:
-    """Its callers were refused until the configuration was old, and two questions of the platform more."""
+def test_a_node_that_alone_is_partitioned_is_not_ready_once_it_refuses_batches() -> None:
+    """A node that refuses batches must not stay ready.
+
+    It used to stay ready until its configuration was too old and the platform had asked twice more, and its
+    callers were refused for that time.
+    """
 
     async def main() -> None:
         configure_logs("error")
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine that was suspended: what it believed before is as old as the time that has passed for others."""
+"""After a suspension, what a machine read before is as old as the time that has passed on other machines."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,9 +11,9 @@
 from worksramp_emulator.simulation.clock import run_simulated
 
 SUSPENDED_S = 5.0
-#: A poll, and the time of its answer.
+#: A poll and the time of its answer.
 POLL_S = 0.6
-#: Well over the time between two renewals, 0.1 of the lease.
+#: Well over the time between two renewals, which is 0.1 of the lease.
 RENEWAL_S = 0.6
 
 
@@ -23,7 +23,7 @@
         async with anyio.create_task_group() as group:
             world = BatchWorld(BatchWorldSpec(), 1, group)
             await world.start()
-            # An owner keeps from ordering at first, for the sake of a former one.
+            # At first an owner sends no orders, since a previous owner might still send some.
             await anyio.sleep(6.0)
             await work(world)
             group.cancel_scope.cancel()
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("suspended_s", "may_order"), [(0.0, True), (SUSPENDED_S, False)])
-def test_an_owner_that_wakes_orders_nothing_before_it_has_renewed(
+def test_an_owner_that_resumes_sends_no_orders_before_it_has_renewed(
     suspended_s: float, may_order: bool
 ) -> None:
     async def work(world: BatchWorld) -> None:
@@ -47,7 +47,7 @@
     play(work)
 
 
-def test_a_node_that_wakes_is_not_ready_before_it_has_read() -> None:
+def test_a_node_that_resumes_is_not_ready_before_it_has_read() -> None:
     async def work(world: BatchWorld) -> None:
         slot = world.slots[0]
         assert slot.node is not None and slot.node.is_ready
@@ -60,10 +60,10 @@
     play(work)
 
 
-def test_the_clock_never_runs_back_and_keeps_pace_with_the_steady_one() -> None:
+def test_the_elapsed_clock_advances_with_the_monotonic_one() -> None:
     async def main() -> None:
-        first, steady = elapsed_s(), anyio.current_time()
+        first, monotonic = elapsed_s(), anyio.current_time()
         await anyio.sleep(0.02)
-        assert elapsed_s() - first >= (anyio.current_time() - steady) * 0.5
+        assert elapsed_s() - first >= (anyio.current_time() - monotonic) * 0.5
 
     anyio.run(main)
