--- a/src/worksramp/coordination/configuration_service.py
+++ b/src/worksramp/coordination/configuration_service.py
@@ -114,7 +114,7 @@
         return self.fold.verdict_of(change.change_id)
 
     def handle_push(self, push: PushConfiguration) -> NodeReply:
-        """Hold the records that a peer sent, and answer how far this node holds the stream."""
+        """Stage the records that a peer sent; reply with the first offset that this node does not hold."""
         self._stage(push.start, push.records)
         return ConfigurationHeld(self.held_offset)
 
@@ -194,7 +194,7 @@
             logger.info("configuration_ready", source=source, offset=self.fold.next_offset)
 
     async def _start_from_peers(self) -> None:
-        """Become ready by answers from enough peers, unless the log makes this node ready first."""
+        """Become ready once enough peers have answered, unless the log makes this node ready first."""
         answered: set[str] = set()
         while not self.is_ready:
             await anyio.sleep(RETRY_PAUSE_SECONDS)
--- a/src/worksramp/coordination/fenced_writer.py
+++ b/src/worksramp/coordination/fenced_writer.py
@@ -144,7 +144,7 @@
         batch = self._dequeue_batch()
         is_release = is_release and not self._queue
         now = anyio.current_time()
-        # Other nodes judge the lease by the owner record alone, so it is renewed even while other records are
+        # Other nodes check the lease by the owner record alone, so it is renewed even while other records are
         # appended all the time.
         is_due = now - self._renewal_written_at >= RENEWAL_SHARE * self._renewal_seconds
         if is_release or is_due or not batch or self._num_orders > self._owner.num_orders:
--- a/src/worksramp/coordination/log_lease.py
+++ b/src/worksramp/coordination/log_lease.py
@@ -76,7 +76,8 @@
     Attributes:
         owner: the newest owner record, None if there is none.
         is_own_machine: whether an earlier process on this machine wrote that record.
-        owner_changed_at: when this node read that record, on its own clock.
+        owner_changed_at: when this node read that record, on its own clock; if there is none, when it loaded
+            its copy.
         replica_age: seconds since the node's copy of the partition was confirmed as current.
         may_own: whether this node may own the shard at present.
         jitter: this node's own delay before a claim in seconds, so that claims seldom collide.
