--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -29,14 +29,14 @@
     Attributes:
         directory: directory that the changes are applied to.
         quarantine: notified when a worker is gone or has restarted.
-        regained_age: returns seconds since the store answered again after an outage.
+        store_recovery_age: returns seconds since the store answered again after an outage.
         on_refused: called with the fault of each entry that cannot be used.
         on_change: called after each change.
     """
 
     directory: WorkerDirectory
     quarantine: Quarantine
-    regained_age: Callable[[], float]
+    store_recovery_age: Callable[[], float]
     on_refused: Callable[[RecordFault], None]
     on_change: Callable[[], None]
     _logged_faults: dict[str, RecordFault] = field(default_factory=dict)
@@ -56,7 +56,7 @@
         """Remove workers whose entries expired in an outage and were not written again, until cancelled."""
         while True:
             await anyio.sleep(DROP_TICK_SECONDS)
-            if self.regained_age() < REWRITE_GRACE_S:
+            if self.store_recovery_age() < REWRITE_GRACE_S:
                 continue
             for worker_id in self.directory.missing_since(anyio.current_time()):
                 logger.info("worker_dropped", worker=worker_id)
@@ -114,7 +114,7 @@
         Entries expire while the store is unavailable, because workers cannot renew them. Healthy workers
         write them again within about two seconds; the entries of other workers do not return.
         """
-        was_outage = self.regained_age() < OUTAGE_GRACE_SECONDS
+        was_outage = self.store_recovery_age() < OUTAGE_GRACE_SECONDS
         self._logged_faults.pop(worker_id, None)
         logger.info("worker_gone", worker=worker_id, is_kept=was_outage)
         if was_outage:
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -53,7 +53,7 @@
         """Read the texts that former owners stored, retrying until the read succeeds."""
         while True:
             try:
-                values = await self._context.progress.newest_of(PROGRESS_GROUP)
+                values = await self._context.progress.newest_values(PROGRESS_GROUP)
                 break
             except ValuesUnavailableError as error:
                 logger.warning("texts_not_read", reason=str(error))
