--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -113,7 +113,7 @@
             settings.node_id,
             self.log,
             self.records.batches,
-            may_try=lambda: self.shard.is_owner,
+            may_grant_trial=lambda: self.shard.is_owner,
             on_event=lambda event: self.metrics.crash_events.labels(event).inc(),
         )
         self.forwarder = Forwarder(
@@ -190,7 +190,7 @@
         gauge("items_unscored", "Whole texts that wait for their scores", lambda: self.shard.num_unscored)
         ledger = self.quarantine.ledger
         gauge("crash_suspects", "Requests that ran at a worker as it crashed", lambda: ledger.num_suspects)
-        gauge("requests_to_blame", "Requests kept from all workers", lambda: ledger.num_to_blame)
+        gauge("requests_to_blame", "Requests kept from all workers", lambda: ledger.num_quarantined)
         for state in WORKER_STATES:
             gauge(
                 "workers",
--- a/src/worksramp/edge/shard.py
+++ b/src/worksramp/edge/shard.py
@@ -187,7 +187,7 @@
         if change.key == OWNER_KEY and change.value is not None:
             self._take_owner_record(decode(change.value, OwnerRecord))
             return
-        if self.context.quarantine.take_change(change):
+        if self.context.quarantine.apply_change(change):
             return
         self.ledger.apply(change)
         self.wake()
--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -8,7 +8,7 @@
 
 from worksramp.edge.ports import RecordFault, Unreadable, WorkerEvent, WorkerGone, WorkerSeen
 from worksramp.routing.quarantine import Quarantine
-from worksramp.routing.workers import START_NOT_TOLD, WorkerDirectory, WorkerEntry
+from worksramp.routing.workers import START_UNKNOWN, WorkerDirectory, WorkerEntry
 
 DROP_TICK_SECONDS = 0.1
 #: Entries that go this soon after an outage of the store went because of it.
@@ -61,7 +61,7 @@
                 self.on_change()
 
     def _take_seen(self, entry: WorkerEntry) -> None:
-        if entry.started_ms != START_NOT_TOLD:
+        if entry.started_ms != START_UNKNOWN:
             self._note_start_told()
         elif self._are_starts_told:
             self._refuse(
@@ -86,7 +86,7 @@
                 is_restart=is_restart,
             )
         if is_restart:
-            self.quarantine.note_gone(entry.worker_id)
+            self.quarantine.handle_worker_gone(entry.worker_id)
         self.directory.put(entry)
 
     def _note_start_told(self) -> None:
@@ -95,7 +95,7 @@
             return
         self._are_starts_told = True
         for state in self.directory.all_states():
-            if state.entry.started_ms == START_NOT_TOLD:
+            if state.entry.started_ms == START_UNKNOWN:
                 reason = "no start, which others tell"
                 self._refuse(Unreadable(state.entry.worker_id, reason, RecordFault.BAD_VALUE))
 
@@ -112,7 +112,7 @@
             self.directory.mark_missing(worker_id, anyio.current_time())
         else:
             self.directory.remove(worker_id)
-            self.quarantine.note_gone(worker_id)
+            self.quarantine.handle_worker_gone(worker_id)
 
     def _refuse(self, event: Unreadable) -> None:
         """Use no worker of this name until a proper entry stands there; its runs go on."""
--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -24,7 +24,7 @@
 from worksramp.rollout.text_keeper import TextKeeper
 from worksramp.routing.failure_tracker import FailureTracker
 from worksramp.routing.table import Route
-from worksramp.routing.worker_starts import WorkerStarts
+from worksramp.routing.worker_starts import RestartDetector
 
 TICK_SECONDS = 0.05
 
@@ -49,7 +49,7 @@
         )
         self._scorer = ItemScorer(context, self.items, self._failures, self._lister, self.wake)
         self._carried = CarriedItems(context, self.items)
-        self._starts = WorkerStarts(context.directory)
+        self._starts = RestartDetector(context.directory)
         self._seen_batches: set[str] = set()
         self._wanted = anyio.Event()
         self._group: anyio.abc.TaskGroup | None = None
--- a/src/worksramp/rollout/batch_run.py
+++ b/src/worksramp/rollout/batch_run.py
@@ -228,7 +228,7 @@
             text.add(event, version)
             on_event()
         await anyio.lowlevel.checkpoint_if_cancelled()
-    if splitter.has_rest:
+    if splitter.has_partial_event:
         return RunBroken("ended inside an event", is_connection_lost=True)
     text.is_whole = True
     return RunFinished()
--- a/src/worksramp/rollout/item_runner.py
+++ b/src/worksramp/rollout/item_runner.py
@@ -127,10 +127,10 @@
         try:
             outcome = await run_item(self._context.port, state.entry, spec, work.text, note_event)
             if isinstance(outcome, RunBroken) and outcome.is_connection_lost:
-                await quarantine.note_broken(state)
+                await quarantine.handle_broken_connection(state)
                 work.wait_until = anyio.current_time() + quarantine.pause_s(running.fingerprint)
             elif isinstance(outcome, RunFinished | RunFailed):
-                quarantine.note_whole_answer(running.fingerprint)
+                quarantine.record_complete_answer(running.fingerprint)
         finally:
             state.end_item(running)
         return outcome
--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -148,7 +148,9 @@
                 service=service,
                 num_slots=state.entry.num_slots,
                 num_calls=num_calls.get(state.entry.worker_id, 0),
-                num_told_waiting=state.told_waiting if now - state.told_at < TOLD_LOAD_VALID_S else 0,
+                num_told_waiting=state.reported_waiting
+                if now - state.load_reported_at < TOLD_LOAD_VALID_S
+                else 0,
                 latency_s=state.latency_seconds,
                 is_suspect=state.entry.worker_id in suspects,
             )
@@ -188,12 +190,15 @@
                 answer = await call_scorer(self._context.port, state.entry, scoring_call, deadline_s)
                 outcome = answer.outcome
                 if answer.load is not None:
-                    state.told_running, state.told_waiting = answer.load.num_running, answer.load.num_waiting
-                    state.told_at = anyio.current_time()
+                    state.reported_running, state.reported_waiting = (
+                        answer.load.num_running,
+                        answer.load.num_waiting,
+                    )
+                    state.load_reported_at = anyio.current_time()
             if isinstance(outcome, ScoringLost) and outcome.is_connection_lost:
-                await quarantine.note_broken(state)
+                await quarantine.handle_broken_connection(state)
             elif isinstance(outcome, Scored | ScoringFailed | ScoringImpossible):
-                quarantine.note_whole_answer(running.fingerprint)
+                quarantine.record_complete_answer(running.fingerprint)
         finally:
             state.end(running)
             work.scoring.calls.remove(call)
@@ -230,7 +235,7 @@
             state.latency_seconds = (
                 seconds if before_s is None else before_s + LATENCY_SMOOTHING * (seconds - before_s)
             )
-            state.latency_at = now
+            state.latency_updated_at = now
         work.text.score = outcome.score
         work.scoring.cancel()
         self._lister.complete(work)
--- a/src/worksramp/rollout/scoring_call.py
+++ b/src/worksramp/rollout/scoring_call.py
@@ -5,7 +5,7 @@
 from worksramp.rollout.batches import Score, ScoringCall
 from worksramp.routing.fingerprint import fingerprint_of
 from worksramp.routing.worker_port import (
-    ToldLoad,
+    ReportedLoad,
     WorkerAnswer,
     WorkerAnswerBrokenError,
     WorkerPort,
@@ -72,7 +72,7 @@
     """Outcome of one call, and the load that the answer told."""
 
     outcome: ScoringOutcome
-    load: ToldLoad | None = None
+    load: ReportedLoad | None = None
 
 
 async def call_scorer(
--- a/src/worksramp/routing/attempts.py
+++ b/src/worksramp/routing/attempts.py
@@ -143,7 +143,7 @@
         return others[0] if self._is_far_better(others[0], usual, now) else usual
 
     def _is_far_better(self, other: WorkerState, usual: WorkerState, now: float) -> bool:
-        if other.latency_seconds is None or now - usual.latency_at > TRY_AGAIN_SECONDS:
+        if other.latency_seconds is None or now - usual.latency_updated_at > TRY_AGAIN_SECONDS:
             return False
         return FAR_BETTER_FACTOR * self._cost(other, now) < self._cost(usual, now)
 
@@ -165,8 +165,11 @@
         """Take in an answer's head; return whether it says that the request has not run."""
         now = anyio.current_time()
         if answer.load is not None:
-            worker.told_running, worker.told_waiting = answer.load.num_running, answer.load.num_waiting
-            worker.told_at = now
+            worker.reported_running, worker.reported_waiting = (
+                answer.load.num_running,
+                answer.load.num_waiting,
+            )
+            worker.load_reported_at = now
         if answer.is_other_worker:
             self._directory.mark_leaving(worker.entry.worker_id)
             course.last_reason = "other_worker"
@@ -184,7 +187,7 @@
 
     def note_latency(self, worker: WorkerState, seconds: float) -> None:
         """Take in how long a request took at the least."""
-        worker.latency_at = anyio.current_time()
+        worker.latency_updated_at = anyio.current_time()
         before = worker.latency_seconds
         change = 0.0 if before is None else LATENCY_SMOOTHING * (seconds - before)
         worker.latency_seconds = seconds if before is None else before + change
--- a/src/worksramp/routing/crash_ledger.py
+++ b/src/worksramp/routing/crash_ledger.py
@@ -91,7 +91,7 @@
         return len(self._histories)
 
     @property
-    def num_to_blame(self) -> int:
+    def num_quarantined(self) -> int:
         """Requests that are held to blame."""
         return sum(1 for fingerprint in self._histories if self.is_to_blame(fingerprint))
 
--- a/src/worksramp/routing/events.py
+++ b/src/worksramp/routing/events.py
@@ -45,7 +45,7 @@
         self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event is waiting for its end."""
         return bool(self._buffer.strip())
 
--- a/src/worksramp/routing/forward.py
+++ b/src/worksramp/routing/forward.py
@@ -196,7 +196,7 @@
                         return None
                     body = b"".join([chunk async for chunk in answer.body])
                     self._choice.note_good(worker, anyio.current_time() - started)
-                    self._quarantine.note_whole_answer(request.fingerprint)
+                    self._quarantine.record_complete_answer(request.fingerprint)
                     is_beaten = False
                     return WholeAnswer(answer.status, answer.headers, body)
             course.may_have_run = True
@@ -209,7 +209,7 @@
             is_beaten = False
             course.may_have_run = True
             self._choice.note_failure(request, worker, course, f"broken: {error}")
-            await self._quarantine.note_broken(worker)
+            await self._quarantine.handle_broken_connection(worker)
         finally:
             if is_beaten:
                 # Cancelled, or out of time: without this a worker that hangs would look as fast as before.
--- a/src/worksramp/routing/live_stream.py
+++ b/src/worksramp/routing/live_stream.py
@@ -81,7 +81,7 @@
             body = b"".join([chunk async for chunk in answer.body])
         except WorkerAnswerBrokenError as error:
             self._choice.note_failure(self._request, worker, self._course, f"broken: {error}")
-            await self._quarantine.note_broken(worker)
+            await self._quarantine.handle_broken_connection(worker)
             return None
         finally:
             await self._opened.aclose()
@@ -105,7 +105,7 @@
         except WorkerAnswerBrokenError as error:
             self._course.may_have_run = True
             self._choice.note_failure(request, worker, self._course, f"broken: {error}")
-            await self._quarantine.note_broken(worker)
+            await self._quarantine.handle_broken_connection(worker)
         except anyio.get_cancelled_exc_class():
             self._course.may_have_run = True
             self._course.last_reason = "deadline"
@@ -125,13 +125,13 @@
                     for event in splitter.feed(chunk):
                         last_id = event.event_id or last_id
                         yield event.block
-                if not splitter.has_rest:
-                    self._quarantine.note_whole_answer(self._request.fingerprint)
+                if not splitter.has_partial_event:
+                    self._quarantine.record_complete_answer(self._request.fingerprint)
                     return
             except WorkerAnswerBrokenError as error:
                 reason = str(error)
             if self._worker is not None:
-                await self._quarantine.note_broken(self._worker)
+                await self._quarantine.handle_broken_connection(self._worker)
             await self._opened.aclose()
             logger.info(
                 "stream_broken", request_id=self._request.request_id, last_event_id=last_id, reason=reason
--- a/src/worksramp/routing/quarantine.py
+++ b/src/worksramp/routing/quarantine.py
@@ -72,7 +72,7 @@
 
     Args:
         log: where crashes are written; None keeps them to this node.
-        may_try: whether this node may give a request to blame another trial; true at one node at a time.
+        may_grant_trial: whether this node may grant a quarantined request a trial; true at one node at a time.
         on_event: told each decision, for figures.
     """
 
@@ -83,7 +83,7 @@
         node: str = "",
         log: SharedLog | None = None,
         partition: Partition | None = None,
-        may_try: Callable[[], bool] = lambda: False,
+        may_grant_trial: Callable[[], bool] = lambda: False,
         on_event: Callable[[str], None] = _ignore,
     ) -> None:
         self.ledger = CrashLedger()
@@ -92,7 +92,7 @@
         self._node = node
         self._log = log
         self._partition = partition
-        self._may_try = may_try
+        self._may_try = may_grant_trial
         self._on_event = on_event
         self._unwritten: deque[KeyedRecord] = deque()
         self._has_unwritten = anyio.Event()
@@ -154,7 +154,7 @@
 
     # Observations.
 
-    async def note_broken(self, worker: WorkerState) -> None:
+    async def handle_broken_connection(self, worker: WorkerState) -> None:
         """Take in that a connection broke while a request ran at a worker.
 
         Returns once it is known whether the worker has crashed, or that it cannot be known yet.
@@ -194,7 +194,7 @@
             while len(self._unconfirmed) > MAX_UNCONFIRMED:
                 self._unconfirmed.popitem(last=False)
 
-    def take_change(self, change: Change) -> bool:
+    def apply_change(self, change: Change) -> bool:
         """Take in a change of the log; return whether it was about crashes."""
         fingerprint = fingerprint_in(change.key)
         if fingerprint is None:
@@ -210,13 +210,13 @@
             )
         return True
 
-    def note_gone(self, worker_id: str) -> None:
+    def handle_worker_gone(self, worker_id: str) -> None:
         """Take in that a worker's entry is gone, or is that of a later start."""
         seen = self._unconfirmed.pop(worker_id, None)
         if seen is not None and anyio.current_time() - seen.at <= UNCONFIRMED_S:
             self._take_crash(seen)
 
-    def note_whole_answer(self, fingerprint: str) -> None:
+    def record_complete_answer(self, fingerprint: str) -> None:
         """Take in that a worker answered a request and lives: earlier ones crashed for another reason."""
         if not self.ledger.is_suspect(fingerprint):
             return
--- a/src/worksramp/routing/worker_port.py
+++ b/src/worksramp/routing/worker_port.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLoad:
+class ReportedLoad:
     """Load that an answer told."""
 
     num_running: int
@@ -62,7 +62,7 @@
     is_other_worker: bool
     is_leaving: bool
     signature: str | None
-    load: ToldLoad | None
+    load: ReportedLoad | None
     weight_version: int | None
     body: AsyncIterator[bytes]
 
--- a/src/worksramp/routing/worker_starts.py
+++ b/src/worksramp/routing/worker_starts.py
@@ -3,7 +3,7 @@
 from worksramp.routing.workers import WorkerDirectory
 
 
-class WorkerStarts:
+class RestartDetector:
     """Compares the starts that a directory knows with those of the last look."""
 
     def __init__(self, directory: WorkerDirectory) -> None:
--- a/src/worksramp/routing/workers.py
+++ b/src/worksramp/routing/workers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 #: Stands for the start of a worker that does not tell it.
-START_NOT_TOLD = 0
+START_UNKNOWN = 0
 #: Workers that went and are still known by their newest start.
 MAX_REMEMBERED_STARTS = 1024
 
@@ -22,7 +22,7 @@
         num_slots: requests it runs at once.
         model_versions: version of each model it holds.
         order_sequence: orders it has taken, as far as the entry says.
-        started_ms: time of day of its start in milliseconds, START_NOT_TOLD when it does not say.
+        started_ms: time of day of its start in milliseconds, START_UNKNOWN when it does not say.
     """
 
     worker_id: str
@@ -33,7 +33,7 @@
     is_leaving: bool = False
     model_versions: dict[str, int] = field(default_factory=dict)
     order_sequence: int = 0
-    started_ms: int = START_NOT_TOLD
+    started_ms: int = START_UNKNOWN
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -58,19 +58,19 @@
         avoid_until: this node sends nothing there before, on its own clock.
         num_recent_failures: broken answers since the last good one.
         latency_seconds: moving mean of answers, None before the first.
-        latency_at: when that was last taken in.
+        latency_updated_at: when that was last taken in.
         running: requests that this node has there now.
     """
 
     entry: WorkerEntry
     num_in_flight: int = 0
-    told_running: int = 0
-    told_waiting: int = 0
-    told_at: float = float("-inf")
+    reported_running: int = 0
+    reported_waiting: int = 0
+    load_reported_at: float = float("-inf")
     avoid_until: float = float("-inf")
     num_recent_failures: int = 0
     latency_seconds: float | None = None
-    latency_at: float = float("-inf")
+    latency_updated_at: float = float("-inf")
     versions: dict[str, int] = field(default_factory=dict)
     is_gone: bool = False
     running: Counter[RunningRequest] = field(default_factory=Counter)
@@ -106,7 +106,11 @@
 
     def estimated_load(self, now: float, told_valid_seconds: float) -> float:
         """Return requests at the worker for each of its slots."""
-        told = self.told_running + self.told_waiting if now - self.told_at < told_valid_seconds else 0
+        told = (
+            self.reported_running + self.reported_waiting
+            if now - self.load_reported_at < told_valid_seconds
+            else 0
+        )
         return max(self.num_in_flight, told) / max(1, self.entry.num_slots)
 
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -17,7 +17,7 @@
 
 from worksramp.coordination.keyed_replica import Change
 from worksramp.edge.ports import RecordFault, Unreadable, WorkerSeen
-from worksramp.routing.workers import START_NOT_TOLD
+from worksramp.routing.workers import START_UNKNOWN
 
 HUGE = 10**400
 ENTRY = {
@@ -65,7 +65,7 @@
 
 def test_workers_of_some_deployments_do_not_tell_their_start() -> None:
     event = StoreRecords().worker_event(Change("i-1", without("born"), 1))
-    assert isinstance(event, WorkerSeen) and event.entry.started_ms == START_NOT_TOLD
+    assert isinstance(event, WorkerSeen) and event.entry.started_ms == START_UNKNOWN
 
 
 @pytest.mark.parametrize("field", ["service", "address", "slots", "state"])
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -217,7 +217,7 @@
         await anyio.sleep(2.0)
         assert quarantine.admit("try-3", "f")
         assert not quarantine.admit("try-4", "f"), "one trial at a time"
-        quarantine.note_whole_answer("f")
+        quarantine.record_complete_answer("f")
         assert quarantine.admit("try-5", "f")
 
     play(work, num_nodes=1)
@@ -254,7 +254,7 @@
         check_innocents,
     ),
     "a whole answer clears nobody": (
-        mock.patch.object(Quarantine, "note_whole_answer", lambda self, fingerprint: None),
+        mock.patch.object(Quarantine, "record_complete_answer", lambda self, fingerprint: None),
         lose_often,
         check_innocents,
     ),
--- a/tests/unit/test_worker_starts.py
+++ b/tests/unit/test_worker_starts.py
@@ -9,7 +9,7 @@
 from worksramp.edge.worker_entries import WorkerEntries
 from worksramp.logs import configure_logs
 from worksramp.routing.quarantine import Quarantine
-from worksramp.routing.worker_starts import WorkerStarts
+from worksramp.routing.worker_starts import RestartDetector
 from worksramp.routing.workers import RunningRequest, WorkerDirectory, WorkerEntry
 from worksramp_emulator.batch_fleet import FleetPort
 from worksramp_emulator.simulation.batch_world import BatchWorld, BatchWorldSpec
@@ -145,7 +145,7 @@
 
 def test_a_look_tells_of_each_restart_once() -> None:
     directory = WorkerDirectory()
-    starts = WorkerStarts(directory)
+    starts = RestartDetector(directory)
     directory.put(entry(FIRST_MS))
     assert starts.restarted() == []
     directory.remove("w1")
