--- a/src/worksramp/routing/attempts.py
+++ b/src/worksramp/routing/attempts.py
@@ -207,7 +207,7 @@
             request_id=request.request_id,
             fingerprint=request.fingerprint,
             worker=worker.entry.worker_id,
-            beside=",".join(worker.running_beside(request.fingerprint)),
+            beside=",".join(worker.other_running(request.fingerprint)),
             reason=reason,
             may_have_run=course.may_have_run,
         )
--- a/src/worksramp/routing/quarantine.py
+++ b/src/worksramp/routing/quarantine.py
@@ -72,7 +72,7 @@
 
     Args:
         log: where crashes are written; None keeps them to this node.
-        may_grant_trial: whether this node may grant a quarantined request a trial; true at one node at a time.
+        may_grant_trial: whether this node may grant a trial request; true at one node at a time.
         on_event: told each decision, for figures.
     """
 
--- a/src/worksramp/routing/workers.py
+++ b/src/worksramp/routing/workers.py
@@ -1,28 +1,28 @@
-"""Directory of workers as their entries tell it, with what this node has learned itself."""
+"""Directory of the workers: the contents of their entries, and this node's own observations of them."""
 
 import itertools
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-#: Stands for the start of a worker that does not tell it.
+#: Start time of a worker whose entry does not state one.
 START_UNKNOWN = 0
-#: Workers that went and are still known by their newest start.
+#: Maximum number of removed workers whose latest start is remembered.
 MAX_REMEMBERED_STARTS = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """What a worker says of itself.
+    """State that a worker publishes about itself.
 
     Attributes:
-        worker_id: id of this start of the worker.
+        worker_id: ID of the worker; a restarted worker may use it again.
         address: ``ip:port``.
-        is_leaving: it takes no new work.
-        num_slots: requests it runs at once.
-        model_versions: version of each model it holds.
-        order_sequence: orders it has taken, as far as the entry says.
-        started_ms: time of day of its start in milliseconds, START_UNKNOWN when it does not say.
+        is_leaving: whether the worker is draining and accepts no new work.
+        num_slots: number of requests the worker runs at the same time.
+        model_versions: weight version of each model the worker holds.
+        order_sequence: number of orders the worker had accepted when the entry was written.
+        started_ms: wall clock time of the start in milliseconds, or START_UNKNOWN.
     """
 
     worker_id: str
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class RunningRequest:
-    """A request as it was put to a worker.
+    """A request that runs at a worker.
 
     Attributes:
-        is_suspect: it was known by then that a worker had crashed while running it.
+        is_suspect: whether, when the request was sent, a worker was known to have crashed while running it.
     """
 
     fingerprint: str
@@ -50,16 +50,20 @@
 
 @dataclass(slots=True)
 class WorkerState:
-    """One worker as this node believes it to be.
+    """This node's view of one worker. Times are on this node's own clock.
 
     Attributes:
-        num_in_flight: requests this node has there now.
-        told_load: requests running and waiting as the worker said last, and when.
-        avoid_until: this node sends nothing there before, on its own clock.
-        num_recent_failures: broken answers since the last good one.
-        latency_seconds: moving mean of answers, None before the first.
-        latency_updated_at: when that was last taken in.
-        running: requests that this node has there now.
+        num_in_flight: number of requests this node has at the worker.
+        reported_running: requests running at the worker, as last reported by it.
+        reported_waiting: requests queued at the worker, as last reported by it.
+        load_reported_at: when the worker last reported its load.
+        avoid_until: time until which this node sends no batch items to the worker, and live requests only if
+            no other worker is left.
+        num_recent_failures: failed attempts since the last success.
+        latency_seconds: moving mean of response times, None before the first.
+        latency_updated_at: when ``latency_seconds`` last changed.
+        is_gone: whether the entry was removed or replaced by that of a later start.
+        running: requests and batch items this node has at the worker.
     """
 
     entry: WorkerEntry
@@ -76,55 +80,62 @@
     running: Counter[RunningRequest] = field(default_factory=Counter)
 
     def begin(self, request: RunningRequest) -> None:
-        """Take in that a request goes there."""
+        """Record that a request is sent to the worker."""
         self.num_in_flight += 1
         self.begin_item(request)
 
     def end(self, request: RunningRequest) -> None:
-        """Take in that a request is there no more."""
+        """Record that a request has ended at the worker."""
         self.num_in_flight -= 1
         self.end_item(request)
 
     def begin_item(self, request: RunningRequest) -> None:
-        """Take in that an item of a batch goes there; the owner keeps count of those itself."""
+        """Record that a batch item is sent to the worker.
+
+        Items are not part of ``num_in_flight``, because the owner counts them itself.
+        """
         self.running[request] += 1
 
     def end_item(self, request: RunningRequest) -> None:
-        """Take in that an item of a batch is there no more."""
+        """Record that a batch item has ended at the worker."""
         self.running[request] -= 1
         if self.running[request] <= 0:
             del self.running[request]
 
-    def running_beside(self, fingerprint: str) -> list[str]:
-        """Return the fingerprints of the other requests that this node has there now."""
+    def other_running(self, fingerprint: str) -> list[str]:
+        """Return the fingerprints of the other requests this node has at the worker, sorted."""
         return sorted({other.fingerprint for other in self.running if other.fingerprint != fingerprint})
 
     @property
     def has_suspect(self) -> bool:
-        """Whether a request runs there under which another worker has crashed."""
+        """Whether this node has a request at the worker that was a suspect when it was sent."""
         return any(request.is_suspect for request in self.running)
 
-    def estimated_load(self, now: float, told_valid_seconds: float) -> float:
-        """Return requests at the worker for each of its slots."""
-        told = (
+    def estimated_load(self, now: float, report_valid_seconds: float) -> float:
+        """Return the number of requests at the worker per slot.
+
+        Args:
+            report_valid_seconds: age from which the load reported by the worker is ignored.
+        """
+        reported = (
             self.reported_running + self.reported_waiting
-            if now - self.load_reported_at < told_valid_seconds
+            if now - self.load_reported_at < report_valid_seconds
             else 0
         )
-        return max(self.num_in_flight, told) / max(1, self.entry.num_slots)
+        return max(self.num_in_flight, reported) / max(1, self.entry.num_slots)
 
 
 @dataclass(slots=True)
 class _KnownStart:
     started_ms: int
-    has_left: bool = False
+    is_draining: bool = False
 
 
 class WorkerDirectory:
-    """All workers that can be used, by id.
+    """All workers that have an entry, by ID.
 
-    A worker may start again under its id. Such a start is another worker: it holds nothing of the former one,
-    and nothing that was learnt of that one counts.
+    A worker may restart under the same ID. The new start is treated as a new worker: it holds no state of the
+    previous start, and observations of the previous start do not apply to it.
     """
 
     def __init__(self) -> None:
@@ -135,24 +146,27 @@
 
     @property
     def num_remembered(self) -> int:
-        """Ids whose newest start is known, those of workers that went included."""
+        """Number of worker IDs whose latest start is remembered, including those of removed workers."""
         return len(self._starts)
 
     def is_known(self, worker_id: str) -> bool:
-        """Return whether a start of the worker is remembered."""
+        """Return whether a start of the worker is remembered, even if its entry is gone."""
         return worker_id in self._starts
 
     def is_former_start(self, entry: WorkerEntry) -> bool:
-        """Return whether an entry tells of a start before one that is known."""
+        """Return whether an entry is of an earlier start than the one remembered for its worker."""
         known = self._starts.get(entry.worker_id)
         return known is not None and entry.started_ms < known.started_ms
 
     def put(self, entry: WorkerEntry) -> None:
-        """Take in a worker's entry. Leaving is for good, for that start."""
+        """Add or update a worker from its entry.
+
+        A start that has once been draining stays so, whatever later entries of the same start say.
+        """
         self.revision += 1
         self._missing_since.pop(entry.worker_id, None)
-        known = self._note_start(entry)
-        known.has_left |= entry.is_leaving
+        known = self._record_start(entry)
+        known.is_draining |= entry.is_leaving
         state = self._states.get(entry.worker_id)
         if state is not None and state.entry.started_ms != entry.started_ms:
             state.is_gone = True
@@ -165,7 +179,7 @@
             state.versions[model] = max(version, state.versions.get(model, 0))
 
     def remove(self, worker_id: str) -> None:
-        """Take in that a worker's entry is gone."""
+        """Remove a worker whose entry is gone. Its latest start stays remembered."""
         self.revision += 1
         self._missing_since.pop(worker_id, None)
         state = self._states.pop(worker_id, None)
@@ -173,51 +187,54 @@
             state.is_gone = True
 
     def mark_missing(self, worker_id: str, now: float) -> None:
-        """Take in that a worker's entry went, which may say nothing of the worker."""
+        """Record that a worker's entry disappeared, which does not prove that the worker has stopped."""
         if worker_id in self._states:
             self._missing_since.setdefault(worker_id, now)
 
     def missing_since(self, latest: float) -> list[str]:
-        """Return the workers whose entries went at this time or before and have not come back."""
+        """Return the workers whose entries disappeared at ``latest`` or before and have not reappeared."""
         return [worker_id for worker_id, at in self._missing_since.items() if at <= latest]
 
     def mark_leaving(self, worker_id: str) -> None:
-        """Take in that a worker was found to be leaving, or to be another one, by its own answer."""
+        """Send no new work to the current start of a worker.
+
+        Called when a response shows that the worker is draining or that another worker has its address.
+        """
         known = self._starts.get(worker_id)
         if known is not None:
-            known.has_left = True
+            known.is_draining = True
         self.revision += 1
 
     def get(self, worker_id: str) -> WorkerState | None:
-        """Return a worker's state, None when it has no entry."""
+        """Return a worker's state, or None if it has no entry."""
         return self._states.get(worker_id)
 
     def is_usable(self, worker_id: str) -> bool:
-        """Return whether new work may go there."""
-        return worker_id in self._states and not self._starts[worker_id].has_left
+        """Return whether new work may be sent to a worker."""
+        return worker_id in self._states and not self._starts[worker_id].is_draining
 
     def usable(self, service: str) -> list[WorkerState]:
-        """Return the workers of a service that take new work, in a fixed order."""
+        """Return the workers of a service that accept new work, sorted by ID."""
         return [
             state
             for worker_id, state in sorted(self._states.items())
-            if state.entry.service == service and not self._starts[worker_id].has_left
+            if state.entry.service == service and not self._starts[worker_id].is_draining
         ]
 
     def all_states(self) -> Iterable[WorkerState]:
-        """Return all workers that have an entry."""
+        """Return the states of all workers that have an entry."""
         return list(self._states.values())
 
-    def _note_start(self, entry: WorkerEntry) -> _KnownStart:
+    def _record_start(self, entry: WorkerEntry) -> _KnownStart:
         known = self._starts.get(entry.worker_id)
         if known is None or known.started_ms != entry.started_ms:
             known = _KnownStart(entry.started_ms)
             self._starts[entry.worker_id] = known
-            self._forget_oldest()
+            self._evict_oldest()
         return known
 
-    def _forget_oldest(self) -> None:
-        """Bound what is remembered of workers that went."""
+    def _evict_oldest(self) -> None:
+        """Evict the oldest starts of removed workers beyond MAX_REMEMBERED_STARTS."""
         num_over = len(self._starts) - len(self._states) - MAX_REMEMBERED_STARTS
         if num_over <= 0:
             return
