--- a/tests/unit/test_worker_starts.py
+++ b/tests/unit/test_worker_starts.py
@@ -1,4 +1,4 @@
-"""A worker that starts again under its id holds nothing of before, and nothing learnt of it counts."""
+"""A worker that restarts under the same ID is a new worker: no state or observation carries over."""
 
 from unittest import mock
 
@@ -16,7 +16,7 @@
 from worksramp_emulator.simulation.clock import run_simulated
 
 FIRST_MS, SECOND_MS = 1_765_000_000_000, 1_765_000_009_000
-#: A node's copy of the entries is that old at the most, and the owner looks each 0.05 s.
+#: Maximum age of a node's copy of the entries; the owner checks it every 0.05 s.
 ENTRY_SEEN_S = 0.5
 
 
@@ -26,7 +26,7 @@
     )
 
 
-def test_a_later_start_holds_what_its_entry_says_and_no_more() -> None:
+def test_a_later_start_has_only_the_state_in_its_entry() -> None:
     directory = WorkerDirectory()
     directory.put(entry(FIRST_MS, version=5))
     before = directory.get("w1")
@@ -41,19 +41,19 @@
     assert (now.num_in_flight, now.latency_seconds, now.avoid_until) == (0, None, float("-inf"))
 
 
-def test_a_worker_that_left_is_used_again_after_its_next_start() -> None:
+def test_a_drained_worker_is_used_again_after_its_next_start() -> None:
     directory = WorkerDirectory()
     directory.put(entry(FIRST_MS, is_leaving=True))
     assert not directory.is_usable("w1")
     directory.remove("w1")
     directory.put(entry(FIRST_MS))
-    assert not directory.is_usable("w1")  # The same start: leaving is for good.
+    assert not directory.is_usable("w1")  # The same start stays draining.
     directory.put(entry(SECOND_MS))
     assert directory.is_usable("w1")
     assert [state.entry.started_ms for state in directory.usable("fleet")] == [SECOND_MS]
 
 
-def test_a_start_that_was_found_to_be_leaving_says_nothing_of_the_next_one() -> None:
+def test_marking_one_start_as_draining_does_not_affect_the_next_one() -> None:
     directory = WorkerDirectory()
     directory.put(entry(FIRST_MS))
     directory.mark_leaving("w1")
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("is_removed", [False, True])
-def test_an_entry_of_a_start_before_the_known_one_names_no_worker(is_removed: bool) -> None:
+def test_an_entry_of_an_earlier_start_is_detected(is_removed: bool) -> None:
     directory = WorkerDirectory()
     directory.put(entry(SECOND_MS))
     if is_removed:
@@ -73,7 +73,7 @@
     assert not directory.is_former_start(entry(SECOND_MS + 1))
 
 
-def test_what_is_remembered_of_workers_that_went_is_bounded() -> None:
+def test_the_number_of_remembered_starts_is_bounded() -> None:
     directory = WorkerDirectory()
     for number in range(5000):
         directory.put(WorkerEntry(f"w{number}", "fleet", "a:1", "z", 6, is_leaving=True, started_ms=FIRST_MS))
@@ -82,7 +82,7 @@
 
 
 class UnusedPort(FleetPort):
-    """Nothing is sent to workers here."""
+    """Port for tests that send nothing to workers."""
 
     def __init__(self) -> None:
         pass
@@ -98,7 +98,7 @@
     )
 
 
-def test_an_entry_that_cannot_be_read_names_no_worker_until_a_proper_one_stands_there() -> None:
+def test_a_worker_with_an_unreadable_entry_is_not_used_until_a_valid_entry_replaces_it() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
     entries.take(WorkerSeen(entry(FIRST_MS)))
@@ -113,29 +113,29 @@
     assert directory.is_usable("w1")
 
 
-def untold(name: str) -> WorkerSeen:
+def seen_without_start(name: str) -> WorkerSeen:
     return WorkerSeen(WorkerEntry(name, "fleet", f"{name}:1", "z", 6))
 
 
-def test_where_no_worker_tells_its_start_all_are_used() -> None:
+def test_all_workers_are_used_where_no_entry_has_a_start_time() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
     for name in ("w1", "w2"):
-        entries.take(untold(name))
+        entries.take(seen_without_start(name))
     assert (seen, len(directory.usable("fleet"))) == ([], 2)
 
 
-def test_an_entry_that_tells_no_start_beside_others_that_do_names_no_worker() -> None:
+def test_an_entry_without_start_time_is_refused_once_another_entry_has_one() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
-    entries.take(untold("other-1"))
+    entries.take(seen_without_start("other-1"))
     entries.take(WorkerSeen(entry(FIRST_MS)))
-    entries.take(untold("other-2"))
+    entries.take(seen_without_start("other-2"))
     assert seen == [RecordFault.BAD_VALUE] * 2
     assert [state.entry.worker_id for state in directory.usable("fleet")] == ["w1"]
 
 
-def test_an_entry_of_a_former_start_leaves_no_worker_there() -> None:
+def test_an_entry_of_an_earlier_start_removes_the_worker() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
     entries.take(WorkerSeen(entry(SECOND_MS)))
@@ -143,21 +143,21 @@
     assert (seen, directory.is_usable("w1")) == ([RecordFault.FORMER_START], False)
 
 
-def test_a_look_tells_of_each_restart_once() -> None:
+def test_each_restart_is_returned_once() -> None:
     directory = WorkerDirectory()
-    starts = RestartDetector(directory)
+    detector = RestartDetector(directory)
     directory.put(entry(FIRST_MS))
-    assert starts.restarted() == []
+    assert detector.restarted() == []
     directory.remove("w1")
-    assert starts.restarted() == []
+    assert detector.restarted() == []
     directory.put(entry(SECOND_MS))
-    assert starts.restarted() == ["w1"]
-    assert starts.restarted() == []
+    assert detector.restarted() == ["w1"]
+    assert detector.restarted() == []
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_items_at_a_worker_that_starts_again_under_its_id_go_on_at_once(seed: int) -> None:
-    """The connections to the former start are silent, as after a loss of power."""
+def test_items_of_a_restarted_worker_resume_at_once(seed: int) -> None:
+    """The connections to the earlier start stay open but silent, as after a power failure."""
 
     async def main() -> None:
         configure_logs("error")
@@ -170,12 +170,12 @@
             assert owner.node is not None and owner.node.shard.owner is not None
             works = owner.node.shard.owner.items.works
             name = next(iter(world.fleet.workers))
-            cut_off = {work.key for work in works.values() if work.run and work.run.worker_id == name}
-            assert cut_off
+            affected = {work.key for work in works.values() if work.run and work.run.worker_id == name}
+            assert affected
             restarted_at = anyio.current_time()
             world.restart_worker(name)
             await anyio.sleep(ENTRY_SEEN_S)
-            held = [work.run for key, work in works.items() if key in cut_off and work.run is not None]
+            held = [work.run for key, work in works.items() if key in affected and work.run is not None]
             assert all(run.worker_id != name or run.started_at > restarted_at for run in held)
             assert any(at > restarted_at and worker == name for at, _, worker, _ in world.fleet.runs)
             group.cancel_scope.cancel()
