--- a/src/worksramp/routing/crash_ledger.py
+++ b/src/worksramp/routing/crash_ledger.py
@@ -1,9 +1,9 @@
-"""Which requests were running when workers crashed, and which of them are held to blame.
+"""Records which requests were running when workers crashed, and decides which of them are quarantined.
 
-A worker that crashes takes all its running requests along, and all but one of them are innocent. So one crash
-proves nothing. A request is to blame when it ran at several workers as they crashed, and each later run began
-after an earlier worker of it was known to have crashed: workers that are lost together (a rack, a service
-that is killed) count once, however many of them had the request.
+A crash ends all requests running at the worker, although at most one of them caused it. So a single crash
+proves nothing. A request is quarantined once it was running at several workers as they crashed, where each
+later run began after an earlier crash was already known. Workers lost at the same time (a rack, a service
+that is killed) therefore count as one crash, however many of them were running the request.
 
 See Also:
     docs/design/crashing-requests.md
@@ -17,24 +17,25 @@
 from worksramp.coordination.shared_log import KeyedRecord
 from worksramp.wire import decode, encode
 
-#: First part of the keys of this ledger; the partition holds other records as well.
+#: First part of this ledger's keys; the partition holds records of other kinds as well.
 KEY_KIND = "crash"
-#: Crashes after which a request is to blame, whatever else ran at its workers. Source: the users' bound.
+#: Number of successive crashes after which a request is quarantined, whatever else ran at the workers.
+#: Source: the users' requirement.
 MAX_CRASHES = 3
-#: Crashes after which it is to blame if nothing else ran at all of its workers.
+#: Number of successive crashes that suffice if no other request was running at every one of the workers.
 MAX_CRASHES_ALONE = 2
-#: Workers that a request may crash in all, trials after its conviction included. Source: the users' bound of
-#: three more sends after the third crash.
-MAX_CRASHES_IN_ALL = 6
+#: Number of workers that a request may crash in total, including trial requests during quarantine.
+#: Source: the users' requirement of at most three more sends after the third crash.
+MAX_TOTAL_CRASHES = 6
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One request that one node had at a worker as it crashed.
+    """One request that one node had at a worker when the worker crashed.
 
     Attributes:
-        crash_id: of the worker's start that ended; the same at all nodes.
-        node: that saw the connection break.
-        is_again: the run began when the node knew of an earlier crash under the request.
+        crash_id: ID of the crash, derived from the worker's start; the same at all nodes.
+        node: node that observed the broken connection.
+        is_again: whether an earlier crash of a worker running the request was known when this run began.
     """
 
     fingerprint: str
@@ -44,27 +45,27 @@
 
     @property
     def key(self) -> str:
-        """Key in the log; a repeated append changes nothing."""
+        """Key in the log; appending the same record again has no effect."""
         return f"{KEY_KIND}/{self.fingerprint}/{self.crash_id}/{self.node}"
 
     def as_log_record(self) -> KeyedRecord:
-        """Return the record that adds this one to the log."""
+        """Return the log record that stores this crash record."""
         return KeyedRecord(self.key, encode(self))
 
-    def as_removal(self) -> KeyedRecord:
-        """Return the record that drops this one from the log."""
+    def as_tombstone(self) -> KeyedRecord:
+        """Return the log record that deletes this crash record."""
         return KeyedRecord(self.key, b"")
 
 
-def fingerprint_in(key: str) -> str | None:
-    """Return the request that a key of the log is about, None for a key of another kind."""
+def fingerprint_in_key(key: str) -> str | None:
+    """Return the fingerprint in a log key, or None for a key of another kind."""
     kind, _, rest = key.partition("/")
     return rest.partition("/")[0] if kind == KEY_KIND else None
 
 
 @dataclass(slots=True)
 class _History:
-    """Crashes under one request: records by key, in order of arrival."""
+    """Crash records of one request by key, in order of arrival."""
 
     records: dict[str, CrashRecord] = field(default_factory=dict)
     changed_at: float = float("-inf")
@@ -73,13 +74,13 @@
         return {record.crash_id for record in self.records.values()}
 
     def num_successive(self) -> int:
-        """Return how many crashes came one after the other, as far as runs show it."""
+        """Return the number of crashes known to have happened one after the other."""
         again = {record.crash_id for record in self.records.values() if record.is_again}
         return 1 + len(again) if self.records else 0
 
 
 class CrashLedger:
-    """All records of crashes, folded change by change."""
+    """All crash records, built from the changes in the log."""
 
     def __init__(self) -> None:
         self._histories: dict[str, _History] = {}
@@ -87,17 +88,17 @@
 
     @property
     def num_suspects(self) -> int:
-        """Requests that were running at some worker as it crashed."""
+        """Number of requests that were running at a worker when it crashed."""
         return len(self._histories)
 
     @property
     def num_quarantined(self) -> int:
-        """Requests that are held to blame."""
-        return sum(1 for fingerprint in self._histories if self.is_to_blame(fingerprint))
+        """Number of quarantined requests."""
+        return sum(1 for fingerprint in self._histories if self.is_quarantined(fingerprint))
 
     def apply(self, change: Change, now: float) -> None:
-        """Take in a change of the log; those of other kinds of keys are passed over."""
-        fingerprint = fingerprint_in(change.key)
+        """Apply a change of the log. Changes of other kinds of keys are ignored."""
+        fingerprint = fingerprint_in_key(change.key)
         if fingerprint is None:
             return
         if change.value is not None:
@@ -106,7 +107,7 @@
             self._remove(fingerprint, change.key)
 
     def add(self, record: CrashRecord, now: float) -> None:
-        """Take in a record; one that is known already changes nothing."""
+        """Add a record. Adding a known record has no effect."""
         history = self._histories.setdefault(record.fingerprint, _History())
         if record.key in history.records:
             return
@@ -115,7 +116,7 @@
         self._requests_at.setdefault(record.crash_id, set()).add(record.fingerprint)
 
     def drop(self, fingerprint: str) -> tuple[CrashRecord, ...]:
-        """Forget all that is known of a request; return what that was."""
+        """Discard all records of a request and return them."""
         history = self._histories.get(fingerprint, _History())
         records = tuple(history.records.values())
         for record in records:
@@ -123,11 +124,11 @@
         return records
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a request was running at some worker as it crashed."""
+        """Return whether a request was running at a worker when the worker crashed."""
         return fingerprint in self._histories
 
-    def is_to_blame(self, fingerprint: str) -> bool:
-        """Return whether a request is held to blame for crashes."""
+    def is_quarantined(self, fingerprint: str) -> bool:
+        """Return whether a request is kept from workers because of crashes."""
         history = self._histories.get(fingerprint)
         if history is None:
             return False
@@ -137,19 +138,25 @@
         return num_crashes >= MAX_CRASHES_ALONE and self._was_alone(fingerprint, history)
 
     def num_crashes(self, fingerprint: str) -> int:
-        """Return how many workers crashed under a request, successively or not."""
+        """Return how many workers crashed while running a request, successively or at the same time."""
         history = self._histories.get(fingerprint)
         return 0 if history is None else len(history.crash_ids())
 
     def changed_at(self, fingerprint: str) -> float:
-        """Return when a crash under a request was last taken in."""
+        """Return when a crash record of a request was last added, or minus infinity if it has none."""
         history = self._histories.get(fingerprint)
         return float("-inf") if history is None else history.changed_at
 
     def stale(self, before: float, max_requests: int) -> list[str]:
-        """Return requests to forget: those that have been quiet for long, and those over a number.
+        """Return the requests whose records should be discarded.
 
-        Those of fewest crashes go first: to forget one that is to blame costs workers again.
+        These are the requests without a new crash since ``before``, and as many others as exceed
+        ``max_requests``. Requests with the fewest crashes are discarded first, because a quarantined request
+        whose records are discarded may crash workers again.
+
+        Args:
+            before: time before which a request's last crash record was added.
+            max_requests: number of requests to keep.
         """
         old = [name for name, history in self._histories.items() if history.changed_at < before]
         num_over = len(self._histories) - len(old) - max_requests
@@ -162,7 +169,7 @@
         return old + kept[:num_over]
 
     def _was_alone(self, fingerprint: str, history: _History) -> bool:
-        """Return whether nothing else ran at all the workers that crashed under a request."""
+        """Return whether no other request was running at every worker that crashed under this request."""
         at_all = set.intersection(*(self._requests_at[crash_id] for crash_id in history.crash_ids()))
         return at_all == {fingerprint}
 
--- a/src/worksramp/routing/forward.py
+++ b/src/worksramp/routing/forward.py
@@ -136,7 +136,7 @@
                 return outcome
             if course.may_have_run and not route.may_repeat:
                 break
-            if self._quarantine.is_to_blame(request.fingerprint):
+            if self._quarantine.is_quarantined(request.fingerprint):
                 refusal = Quarantined()
                 return MayHaveRun(refusal.reason, is_late=False) if course.may_have_run else refusal
         return self._give_up(course, route, is_late=anyio.current_time() >= last_start)
--- a/src/worksramp/routing/live_stream.py
+++ b/src/worksramp/routing/live_stream.py
@@ -159,7 +159,7 @@
     def _may_resume(self) -> bool:
         return (
             self._route.is_resumable
-            and not self._quarantine.is_to_blame(self._request.fingerprint)
+            and not self._quarantine.is_quarantined(self._request.fingerprint)
             and self._course.has_attempt_left(self._route)
             and anyio.current_time() < self._ends_at
         )
--- a/src/worksramp/routing/quarantine.py
+++ b/src/worksramp/routing/quarantine.py
@@ -21,10 +21,10 @@
 from worksramp.coordination.value_store import NotStored, append_until_known
 from worksramp.routing.crash_ledger import (
     MAX_CRASHES_ALONE,
-    MAX_CRASHES_IN_ALL,
+    MAX_TOTAL_CRASHES,
     CrashLedger,
     CrashRecord,
-    fingerprint_in,
+    fingerprint_in_key,
 )
 from worksramp.routing.fingerprint import crash_id_of
 from worksramp.routing.worker_port import ListenerState, WorkerPort
@@ -104,7 +104,7 @@
 
     def admit(self, request_id: str, fingerprint: str) -> bool:
         """Return whether a request may go to a worker now."""
-        if not self.ledger.is_to_blame(fingerprint):
+        if not self.ledger.is_quarantined(fingerprint):
             return True
         is_trial = self._is_trial_due(fingerprint)
         if is_trial:
@@ -121,9 +121,9 @@
         )
         return is_trial
 
-    def is_to_blame(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request must go to no further worker."""
-        return self.ledger.is_to_blame(fingerprint)
+        return self.ledger.is_quarantined(fingerprint)
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Return whether a worker is known to have crashed while it ran a request."""
@@ -131,7 +131,7 @@
 
     def pause_s(self, fingerprint: str) -> float:
         """Return how long a request that may not be given up pauses between two workers."""
-        if not self.ledger.is_to_blame(fingerprint):
+        if not self.ledger.is_quarantined(fingerprint):
             return 0.0
         num_further = self.ledger.num_crashes(fingerprint) - MAX_CRASHES_ALONE
         return min(FIRST_PAUSE_S * 2.0 ** max(0, num_further), MAX_PAUSE_S)
@@ -146,7 +146,7 @@
         Without trials one that was blamed wrongly would be refused for a day.
         """
         num_crashes = self.ledger.num_crashes(fingerprint)
-        if num_crashes >= MAX_CRASHES_IN_ALL or not self._may_try():
+        if num_crashes >= MAX_TOTAL_CRASHES or not self._may_try():
             return False
         wait_s = FIRST_TRIAL_S * TRIAL_FACTOR ** max(0, num_crashes - MAX_CRASHES_ALONE)
         last = max(self.ledger.changed_at(fingerprint), self._tried_at.get(fingerprint, float("-inf")))
@@ -196,12 +196,12 @@
 
     def apply_change(self, change: Change) -> bool:
         """Take in a change of the log; return whether it was about crashes."""
-        fingerprint = fingerprint_in(change.key)
+        fingerprint = fingerprint_in_key(change.key)
         if fingerprint is None:
             return False
-        was_to_blame = self.ledger.is_to_blame(fingerprint)
+        was_to_blame = self.ledger.is_quarantined(fingerprint)
         self.ledger.apply(change, anyio.current_time())
-        if self.ledger.is_to_blame(fingerprint) != was_to_blame:
+        if self.ledger.is_quarantined(fingerprint) != was_to_blame:
             logger.warning(
                 "request_released" if was_to_blame else "request_blamed",
                 fingerprint=fingerprint,
@@ -223,7 +223,7 @@
         records = self.ledger.drop(fingerprint)
         self._on_event("cleared")
         logger.info("crash_suspect_cleared", fingerprint=fingerprint, num_records=len(records))
-        self._write(record.as_removal() for record in records)
+        self._write(record.as_tombstone() for record in records)
 
     def _take_crash(self, seen: _Break) -> None:
         now = anyio.current_time()
@@ -239,7 +239,7 @@
             crash_id=seen.crash_id,
             running=",".join(record.fingerprint for record in records),
             to_blame=",".join(
-                record.fingerprint for record in records if self.ledger.is_to_blame(record.fingerprint)
+                record.fingerprint for record in records if self.ledger.is_quarantined(record.fingerprint)
             ),
         )
         self._write(record.as_log_record() for record in records)
@@ -289,4 +289,4 @@
             for fingerprint in self.ledger.stale(anyio.current_time() - KEEP_S, MAX_REQUESTS):
                 records = self.ledger.drop(fingerprint)
                 logger.info("crash_suspect_forgotten", fingerprint=fingerprint, num_records=len(records))
-                self._write(record.as_removal() for record in records)
+                self._write(record.as_tombstone() for record in records)
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -244,7 +244,7 @@
         check_crash_bound,
     ),
     "nobody is ever to blame": (
-        mock.patch.object(CrashLedger, "is_to_blame", lambda self, fingerprint: False),
+        mock.patch.object(CrashLedger, "is_quarantined", lambda self, fingerprint: False),
         come_again,
         check_crash_bound,
     ),
@@ -281,17 +281,17 @@
 
 def test_workers_lost_together_count_once() -> None:
     ledger = ledger_of(("f", "a", False), ("f", "b", False), ("f", "c", False))
-    assert not ledger.is_to_blame("f") and ledger.num_crashes("f") == 3
+    assert not ledger.is_quarantined("f") and ledger.num_crashes("f") == 3
 
 
 def test_alone_at_two_workers_is_to_blame_and_in_company_is_not() -> None:
     ledger = ledger_of(("f", "a", False), ("f", "b", True))
-    assert ledger.is_to_blame("f")
+    assert ledger.is_quarantined("f")
     for crash_id in ("a", "b"):
         ledger.add(CrashRecord("other", crash_id, "other-node", crash_id == "b"), 0.0)
-    assert not ledger.is_to_blame("f") and not ledger.is_to_blame("other")
+    assert not ledger.is_quarantined("f") and not ledger.is_quarantined("other")
     ledger.add(CrashRecord("f", "c", "node", True), 0.0)
-    assert ledger.is_to_blame("f") and not ledger.is_to_blame("other")
+    assert ledger.is_quarantined("f") and not ledger.is_quarantined("other")
 
 
 def test_records_that_go_leave_nothing_behind() -> None:
