--- a/src/worksramp/routing/quarantine.py
+++ b/src/worksramp/routing/quarantine.py
@@ -1,7 +1,7 @@
 """Keeps requests that crash workers away from all workers, at every node and across the caller's retries.
 
 A connection that breaks while a request runs may mean a crash, a reset, or a worker that aborted one
-response. This node therefore opens a new connection to the worker at once. Only a worker that refuses it, or
+answer. This node therefore opens a new connection to the worker at once. Only a worker that refuses it, or
 whose entry disappears soon after, counts as crashed. The requests that were running there are then written to
 the shared log, which every node follows. Nothing is written while the workers of a request stay alive.
 
--- a/src/worksramp/routing/worker_port.py
+++ b/src/worksramp/routing/worker_port.py
@@ -1,4 +1,4 @@
-"""Port to the workers: requests, orders and reports."""
+"""Port to the workers: sending requests, ordering weight versions and fetching reports."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """One request as it goes to a worker.
+    """One request to a worker.
 
     Attributes:
-        request_id: id that the answer must name.
+        request_id: ID that the answer must carry.
         target: path and query, byte for byte.
-        headers: the caller's, without those of the connection and those below.
-        deadline_seconds: what is left for the worker, None when unbounded.
-        resume_after: id of the last event already received, None from the start.
-        urgency: 0 (first) to 9, None for the worker's default.
+        headers: headers of the caller, without connection headers and those set from the other fields.
+        deadline_seconds: time left for the worker, None for no deadline.
+        resume_after: ID of the last event already received, None to start from the beginning.
+        urgency: 0 (most urgent) to 9, None for the worker's default.
     """
 
     request_id: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """Load that an answer told."""
+    """Load that a worker reports along with an answer."""
 
     num_running: int
     num_waiting: int
@@ -45,15 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerAnswer:
-    """Head of a worker's answer.
+    """Status and headers of a worker's answer, with the body still to be read.
 
     Attributes:
-        headers: for the caller, without those of the connection.
-        is_not_run: the worker says that it has not run the request.
-        is_other_worker: another worker has the address now.
-        is_leaving: the worker said that it takes no more.
-        signature: the worker's, None when the answer carries none.
-        weight_version: version that makes the first events, None when not told.
+        headers: headers for the caller, without connection headers.
+        is_not_run: whether the worker states that it has not run the request.
+        is_other_worker: whether another worker has the address now.
+        is_leaving: whether the worker states that it is draining.
+        signature: signature of the worker, None if the answer carries none.
+        load: load of the worker, None if not stated.
+        weight_version: weight version that produces the first events, None if not stated.
     """
 
     status: int
@@ -68,15 +69,15 @@
 
     @property
     def is_signed(self) -> bool:
-        """Whether a worker made the answer."""
+        """Whether the answer was produced by a worker."""
         return self.signature is not None
 
 
 class WorkerUnreachableError(Exception):
-    """No connection came up: not a byte of the request was sent.
+    """No connection could be established, so no byte of the request was sent.
 
     Attributes:
-        is_refusal: the worker's machine refused it at once, as it does once the worker has ended.
+        is_refusal: whether the connection was refused at once, as happens once the worker process has ended.
     """
 
     def __init__(self, reason: str, is_refusal: bool = False) -> None:
@@ -85,11 +86,11 @@
 
 
 class WorkerAnswerBrokenError(Exception):
-    """The answer ended early or was not an answer to this request; it may have run."""
+    """The answer ended early or did not belong to this request, which may have run."""
 
 
 class ListenerState(StrEnum):
-    """What became of a new connection to a worker that no request was sent on."""
+    """Result of opening a connection to a worker without sending a request."""
 
     ACCEPTS = "accepts"
     REFUSES = "refuses"
@@ -97,7 +98,7 @@
 
 
 class RunsDuringLoad(StrEnum):
-    """What becomes of a worker's runs when it takes other weights."""
+    """What a worker does with running requests when it loads another weight version."""
 
     FINISH_FIRST = "finish_first"
     CONTINUE = "continue"
@@ -106,13 +107,13 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionOrder:
-    """Order to take other weights.
+    """Order to load a weight version.
 
     Attributes:
-        runs: what becomes of requests that run.
-        holder: name of the machine that orders.
-        fence: token that only rises.
-        expected_sequence: orders the worker must have taken before, None for any.
+        runs: what to do with running requests.
+        holder: name of the ordering node.
+        fence: fencing token, which only increases.
+        expected_sequence: number of orders the worker must have accepted before, None for any.
     """
 
     model: str
@@ -125,21 +126,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderTaken:
-    """The worker is at it."""
+    """The worker accepted the order and is carrying it out."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderHeldAlready:
-    """The worker has that version."""
+    """The worker already holds that version."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The worker refused.
+    """The worker refused the order.
 
     Attributes:
-        is_fenced: a higher fence has been seen.
-        is_conflict: another order is under way, or the sequence does not match.
+        is_fenced: whether the worker has seen a higher fence.
+        is_conflict: whether another order is in progress, or the sequence does not match.
     """
 
     reason: str
@@ -149,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderOpen:
-    """No answer: the order may have been taken, or may be carried out seconds later."""
+    """No answer arrived: the order may have been accepted, and may still be carried out seconds later."""
 
     reason: str
 
@@ -159,7 +160,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """A worker's state as it was a moment ago."""
+    """State that a worker reported a moment ago.
+
+    Attributes:
+        model_versions: weight version of each model the worker holds.
+        order_sequence: number of orders the worker has accepted.
+    """
 
     model_versions: dict[str, int]
     is_busy: bool
@@ -169,9 +175,9 @@
 
 
 class WorkerPort(ABC):
-    """Calls to workers."""
+    """Interface for calls to workers."""
 
-    #: Name of the field of an event that tells the version of the weights from that event on.
+    #: Name of the event field that states the weight version from that event on.
     version_field: str
 
     @abstractmethod
@@ -180,17 +186,18 @@
 
         Raises:
             WorkerUnreachableError: nothing was sent.
-            WorkerAnswerBrokenError: no whole answer to this request, when entering or from the body.
+            WorkerAnswerBrokenError: no complete answer to this request arrived; raised when entering the
+                context or while reading the body.
         """
 
     @abstractmethod
     async def listener_state(self, worker: WorkerEntry) -> ListenerState:
-        """Return whether a worker takes connections now, well within a second."""
+        """Open and close a connection to a worker, and return the result well within a second."""
 
     @abstractmethod
     async def order_version(self, worker: WorkerEntry, order: VersionOrder) -> OrderOutcome:
-        """Order a worker to take a version."""
+        """Order a worker to load a weight version and return its reaction."""
 
     @abstractmethod
     async def report(self, worker: WorkerEntry) -> WorkerReport | None:
-        """Return a worker's report, None when it gave none."""
+        """Return a worker's report, or None if none arrived."""
--- a/src/worksramp/routing/workers.py
+++ b/src/worksramp/routing/workers.py
@@ -198,7 +198,7 @@
     def mark_leaving(self, worker_id: str) -> None:
         """Send no new work to the current start of a worker.
 
-        Called when a response shows that the worker is draining or that another worker has its address.
+        Called when an answer shows that the worker is draining or that another worker has its address.
         """
         known = self._starts.get(worker_id)
         if known is not None:
