--- a/src/worksramp/routing/attempts.py
+++ b/src/worksramp/routing/attempts.py
@@ -1,4 +1,4 @@
-"""What all attempts of live requests share: choice of a worker, and what its answers teach."""
+"""Chooses workers for attempts of live requests and records the results of the attempts."""
 
 import random
 import zlib
@@ -13,34 +13,36 @@
 from worksramp.routing.worker_port import HeaderList, WorkerAnswer, WorkerRequest
 from worksramp.routing.workers import WorkerDirectory, WorkerState
 
-TOLD_LOAD_SECONDS = 1.0
+REPORTED_LOAD_VALID_SECONDS = 1.0
 AVOID_AFTER_FAILURE_SECONDS = 0.5
 AVOID_AFTER_FULL_SECONDS = 0.1
 LATENCY_SMOOTHING = 0.2
-#: Stands for the latency of a worker that has answered nothing yet: it is tried soon.
+#: Assumed latency of a worker that has not answered yet; low, so that the worker is used soon.
 UNKNOWN_LATENCY_SECONDS = 0.01
-MIN_WORKER_SECONDS = 0.001
-#: Requests for each slot of the usual worker from which on others share its load.
-SPREAD_LOAD = 0.4
-#: Lengths of requests differ, and so do moving means of like workers.
-FAR_BETTER_FACTOR = 2.0
-#: A slow worker that has been left alone for this long may have recovered.
-TRY_AGAIN_SECONDS = 4.0
-#: Workers that may refuse a connection without taking an attempt, a few milliseconds each: where a whole
-#: fleet is down, a request is still given up at once.
-MAX_REFUSING = 8
+MIN_WORKER_DEADLINE_SECONDS = 0.001
+#: Load of the preferred worker, in requests per slot, from which other workers take some of its requests.
+SPILLOVER_LOAD = 0.4
+#: How many times cheaper the next worker must be to replace the preferred one. Durations of requests differ,
+#: so the moving means of equally fast workers differ as well.
+MUCH_CHEAPER_FACTOR = 2.0
+#: A slow worker that has had no request for this long is used again, because it may have recovered.
+SLOW_WORKER_RETRY_SECONDS = 4.0
+#: Number of refused connections that do not count as attempts. Each takes a few milliseconds, so a request
+#: still fails at once if the whole fleet is down.
+MAX_UNCOUNTED_REFUSALS = 8
 
 logger = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class LiveRequest:
-    """A caller's request, read whole.
+    """A caller's request with its complete body.
 
     Attributes:
-        request_id: the caller's id of this try.
+        request_id: ID set by the caller; a retry by the caller has another one.
         deadline_at: when the caller stops waiting, on this node's clock.
-        fingerprint: the same for all tries of the request, at any node.
+        resume_after: ID of the last event the caller has received, None for a new stream.
+        fingerprint: digest that is the same for all retries of the request, at any node.
     """
 
     request_id: str
@@ -58,7 +60,7 @@
         object.__setattr__(self, "fingerprint", fingerprint_of(self.method, host, self.target, self.body))
 
     def ends_at(self, route: Route) -> float:
-        """Return when this node must have given its final answer."""
+        """Return when this node must have sent its final answer, on its own clock."""
         if route.timeout_seconds is None:
             return self.deadline_at
         return min(self.deadline_at, self.received_at + route.timeout_seconds)
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """A worker's answer with its whole body."""
+    """A worker's answer with its complete body."""
 
     status: int
     headers: HeaderList
@@ -74,95 +76,105 @@
 
 
 @dataclass(slots=True)
-class Course:
-    """What has happened to one request so far.
+class AttemptHistory:
+    """Attempts made so far for one request.
 
     Attributes:
-        tried: workers that were chosen, in order.
-        num_refusing: those of them that refused a connection at once; nothing was sent there.
-        failure: an answer of failure to give if no attempt does better.
+        tried: IDs of the workers that were chosen, in order.
+        num_refused_connections: how many of them refused the connection at once, so that nothing was sent.
+        may_have_run: whether a worker may have run the request.
+        last_reason: why the latest attempt failed.
+        failure: error answer of a worker, returned to the caller if no attempt succeeds.
     """
 
     tried: list[str] = field(default_factory=list)
-    num_refusing: int = 0
+    num_refused_connections: int = 0
     may_have_run: bool = False
     last_reason: str = "no_worker"
     failure: WholeAnswer | None = None
 
     def has_attempt_left(self, route: Route) -> bool:
-        """Return whether the request may go to one more worker.
+        """Return whether the request may be sent to one more worker.
 
-        Workers that have just ended keep their entries for seconds. If each took an attempt, requests would
-        be refused while another stands free: with two of three workers down, 0.85 of the first tries were
-        served instead of 1.00 (simulation, 3 calls a second, 8 seeds).
+        Workers that have just ended keep their entries for seconds. If each of them counted as an attempt,
+        requests would be refused although another worker is free: with two of three workers down, a share of
+        0.85 of the requests succeeded without a retry by the caller, instead of 1.00 (simulation, 3 calls per
+        second, 8 seeds).
         """
-        num_spared = min(self.num_refusing, MAX_REFUSING)
-        return len(self.tried) - num_spared < route.max_attempts
+        num_uncounted = min(self.num_refused_connections, MAX_UNCOUNTED_REFUSALS)
+        return len(self.tried) - num_uncounted < route.max_attempts
 
 
 class WorkerChoice:
-    """Chooses workers for attempts and takes in what came of them."""
+    """Chooses workers for attempts and records the results.
 
-    def __init__(self, directory: WorkerDirectory, source: random.Random, node: str = "") -> None:
+    Args:
+        rng: source of random choices.
+        node: ID of this node, from which its order of preference among workers is derived.
+    """
+
+    def __init__(self, directory: WorkerDirectory, rng: random.Random, node: str = "") -> None:
         self._directory = directory
-        self._source = source
+        self._rng = rng
         self._node = node
 
-    def choose(self, service: str, course: Course) -> WorkerState | None:
-        """Return a worker for an attempt, None when none is left."""
+    def choose(self, service: str, history: AttemptHistory) -> WorkerState | None:
+        """Return a worker for an attempt, or None if none is left."""
         now = anyio.current_time()
-        fresh = [
-            worker for worker in self._directory.usable(service) if worker.entry.worker_id not in course.tried
+        untried = [
+            worker
+            for worker in self._directory.usable(service)
+            if worker.entry.worker_id not in history.tried
         ]
-        sound = [worker for worker in fresh if worker.avoid_until <= now] or fresh
-        if course.may_have_run:
-            # One of the requests that a crash broke off may have caused it: tried again at one worker, the
-            # others would be taken along once more, and none of them could be told from it.
-            sound = [worker for worker in sound if not worker.has_suspect] or sound
-        return self._choose_among(sound, now) if sound else None
-
-    def _lesser_of_two(self, sound: list[WorkerState], now: float) -> WorkerState:
+        healthy = [worker for worker in untried if worker.avoid_until <= now] or untried
+        if history.may_have_run:
+            # Any of the requests that a crash interrupted may have caused it. If they were retried at the
+            # same worker, the others would be lost again, and the cause could not be told apart from them.
+            healthy = [worker for worker in healthy if not worker.has_suspect] or healthy
+        return self._choose_among(healthy, now) if healthy else None
+
+    def _cheaper_of_two(self, healthy: list[WorkerState], now: float) -> WorkerState:
         """Return the cheaper of two workers drawn at random."""
-        drawn = self._source.sample(sound, min(2, len(sound)))
+        drawn = self._rng.sample(healthy, min(2, len(healthy)))
         return min(drawn, key=lambda worker: self._cost(worker, now))
 
-    @mechanism("usual_worker", without=_lesser_of_two)
-    def _choose_among(self, sound: list[WorkerState], now: float) -> WorkerState:
-        """Return this node's usual worker, or a better one.
+    @mechanism("usual_worker", without=_cheaper_of_two)
+    def _choose_among(self, healthy: list[WorkerState], now: float) -> WorkerState:
+        """Return this node's preferred worker, or a better one.
 
-        Each node has workers in an order of its own, since connections are kept by pairs of node and worker
-        and new ones are dear. The next one is taken while the usual one is far slower, any one while the
-        usual one is loaded.
+        Each node has its own order of preference, because connections are kept per pair of node and worker
+        and new ones are expensive. The next worker in that order is used while the preferred one is much
+        slower. A random one may be used while the preferred one is loaded.
         """
-        usual, *others = sorted(sound, key=self._affinity, reverse=True)
+        preferred, *others = sorted(healthy, key=self._affinity, reverse=True)
         if not others:
-            return usual
-        if usual.estimated_load(now, TOLD_LOAD_SECONDS) >= SPREAD_LOAD:
-            drawn = self._source.choice(others)
-            return min((usual, drawn), key=lambda worker: self._cost(worker, now))
-        return others[0] if self._is_far_better(others[0], usual, now) else usual
-
-    def _is_far_better(self, other: WorkerState, usual: WorkerState, now: float) -> bool:
-        if other.latency_seconds is None or now - usual.latency_updated_at > TRY_AGAIN_SECONDS:
+            return preferred
+        if preferred.estimated_load(now, REPORTED_LOAD_VALID_SECONDS) >= SPILLOVER_LOAD:
+            drawn = self._rng.choice(others)
+            return min((preferred, drawn), key=lambda worker: self._cost(worker, now))
+        return others[0] if self._is_much_cheaper(others[0], preferred, now) else preferred
+
+    def _is_much_cheaper(self, other: WorkerState, preferred: WorkerState, now: float) -> bool:
+        if other.latency_seconds is None or now - preferred.latency_updated_at > SLOW_WORKER_RETRY_SECONDS:
             return False
-        return FAR_BETTER_FACTOR * self._cost(other, now) < self._cost(usual, now)
+        return MUCH_CHEAPER_FACTOR * self._cost(other, now) < self._cost(preferred, now)
 
     def _affinity(self, worker: WorkerState) -> int:
         return zlib.crc32(f"{self._node}/{worker.entry.worker_id}".encode())
 
-    def choose_sound(self, service: str, course: Course) -> WorkerState | None:
-        """Return a worker that nothing speaks against, None when none is left."""
-        worker = self.choose(service, course)
+    def choose_healthy(self, service: str, history: AttemptHistory) -> WorkerState | None:
+        """Return a worker that is not being avoided, or None if none is left."""
+        worker = self.choose(service, history)
         if worker is None or worker.avoid_until > anyio.current_time():
             return None
         return worker
 
     def choose_service(self, route: Route) -> str:
-        """Return a service of the route's split."""
-        return route.choose_service(self._source)
+        """Return a service of the route's split, chosen at random by weight."""
+        return route.choose_service(self._rng)
 
-    def take_refusal(self, answer: WorkerAnswer, worker: WorkerState, course: Course) -> bool:
-        """Take in an answer's head; return whether it says that the request has not run."""
+    def record_answer_head(self, answer: WorkerAnswer, worker: WorkerState, history: AttemptHistory) -> bool:
+        """Record the head of an answer and return whether it states that the request has not run."""
         now = anyio.current_time()
         if answer.load is not None:
             worker.reported_running, worker.reported_waiting = (
@@ -172,36 +184,41 @@
             worker.load_reported_at = now
         if answer.is_other_worker:
             self._directory.mark_leaving(worker.entry.worker_id)
-            course.last_reason = "other_worker"
+            history.last_reason = "other_worker"
             return True
         if not answer.is_not_run:
             return False
         worker.avoid_until = now + AVOID_AFTER_FULL_SECONDS
-        course.last_reason = f"worker_status_{answer.status}"
+        history.last_reason = f"worker_status_{answer.status}"
         return True
 
-    def note_good(self, worker: WorkerState, seconds: float) -> None:
-        """Take in how long a whole answer took."""
+    def record_success(self, worker: WorkerState, seconds: float) -> None:
+        """Record a complete answer and how many seconds it took."""
         worker.num_recent_failures = 0
-        self.note_latency(worker, seconds)
+        self.record_latency(worker, seconds)
 
-    def note_latency(self, worker: WorkerState, seconds: float) -> None:
-        """Take in how long a request took at the least."""
+    def record_latency(self, worker: WorkerState, seconds: float) -> None:
+        """Update the worker's mean latency with a duration in seconds, which may be a lower bound."""
         worker.latency_updated_at = anyio.current_time()
         before = worker.latency_seconds
         change = 0.0 if before is None else LATENCY_SMOOTHING * (seconds - before)
         worker.latency_seconds = seconds if before is None else before + change
 
-    def note_beaten(self, worker: WorkerState, seconds: float) -> None:
-        """Take in that another worker answered first, when this one had not after so long."""
+    def record_unfinished(self, worker: WorkerState, seconds: float) -> None:
+        """Record an attempt that was cancelled or timed out after ``seconds`` without an answer.
+
+        The duration is a lower bound, so it only ever raises the mean latency.
+        """
         if worker.latency_seconds is None or worker.latency_seconds < seconds:
-            self.note_latency(worker, seconds)
+            self.record_latency(worker, seconds)
 
-    def note_failure(self, request: LiveRequest, worker: WorkerState, course: Course, reason: str) -> None:
-        """Take in that an attempt came to nothing."""
+    def record_failure(
+        self, request: LiveRequest, worker: WorkerState, history: AttemptHistory, reason: str
+    ) -> None:
+        """Record and log a failed attempt, and avoid the worker for a short time."""
         worker.num_recent_failures += 1
         worker.avoid_until = anyio.current_time() + AVOID_AFTER_FAILURE_SECONDS
-        course.last_reason = reason
+        history.last_reason = reason
         logger.info(
             "attempt_failed",
             request_id=request.request_id,
@@ -209,23 +226,23 @@
             worker=worker.entry.worker_id,
             beside=",".join(worker.other_running(request.fingerprint)),
             reason=reason,
-            may_have_run=course.may_have_run,
+            may_have_run=history.may_have_run,
         )
 
     @staticmethod
     def _cost(worker: WorkerState, now: float) -> float:
-        load = worker.estimated_load(now, TOLD_LOAD_SECONDS)
+        load = worker.estimated_load(now, REPORTED_LOAD_VALID_SECONDS)
         return (1.0 + load) * (worker.latency_seconds or UNKNOWN_LATENCY_SECONDS)
 
 
-def to_worker(request: LiveRequest, ends_at: float) -> WorkerRequest:
-    """Return a live request as it goes to a worker now."""
+def to_worker_request(request: LiveRequest, ends_at: float) -> WorkerRequest:
+    """Return the request to send to a worker now, with the time left until ``ends_at`` as its deadline."""
     return WorkerRequest(
         request_id=request.request_id,
         method=request.method,
         target=request.target,
         headers=request.headers,
         body=request.body,
-        deadline_seconds=max(MIN_WORKER_SECONDS, ends_at - anyio.current_time()),
+        deadline_seconds=max(MIN_WORKER_DEADLINE_SECONDS, ends_at - anyio.current_time()),
         resume_after=request.resume_after,
     )
--- a/src/worksramp/routing/live_stream.py
+++ b/src/worksramp/routing/live_stream.py
@@ -7,7 +7,13 @@
 import anyio
 import structlog
 
-from worksramp.routing.attempts import Course, LiveRequest, WholeAnswer, WorkerChoice, to_worker
+from worksramp.routing.attempts import (
+    AttemptHistory,
+    LiveRequest,
+    WholeAnswer,
+    WorkerChoice,
+    to_worker_request,
+)
 from worksramp.routing.events import EventSplitter
 from worksramp.routing.quarantine import Quarantine
 from worksramp.routing.table import Route
@@ -48,14 +54,14 @@
         quarantine: Quarantine,
         request: LiveRequest,
         route: Route,
-        course: Course,
+        history: AttemptHistory,
     ) -> None:
         self._port = port
         self._choice = choice
         self._quarantine = quarantine
         self._request = request
         self._route = route
-        self._course = course
+        self._course = history
         self._ends_at = request.ends_at(route)
         self._opened = AsyncExitStack()
         self._worker: WorkerState | None = None
@@ -80,7 +86,7 @@
         try:
             body = b"".join([chunk async for chunk in answer.body])
         except WorkerAnswerBrokenError as error:
-            self._choice.note_failure(self._request, worker, self._course, f"broken: {error}")
+            self._choice.record_failure(self._request, worker, self._course, f"broken: {error}")
             await self._quarantine.handle_broken_connection(worker)
             return None
         finally:
@@ -95,16 +101,16 @@
         self._opened.callback(worker.end, running)
         is_open = False
         try:
-            sending = self._port.send(worker.entry, to_worker(request, self._ends_at))
+            sending = self._port.send(worker.entry, to_worker_request(request, self._ends_at))
             answer = await self._opened.enter_async_context(sending)
-            is_open = not self._choice.take_refusal(answer, worker, self._course)
+            is_open = not self._choice.record_answer_head(answer, worker, self._course)
             return answer if is_open else None
         except WorkerUnreachableError as error:
-            self._course.num_refusing += int(error.is_refusal)
-            self._choice.note_failure(request, worker, self._course, f"unreachable: {error}")
+            self._course.num_refused_connections += int(error.is_refusal)
+            self._choice.record_failure(request, worker, self._course, f"unreachable: {error}")
         except WorkerAnswerBrokenError as error:
             self._course.may_have_run = True
-            self._choice.note_failure(request, worker, self._course, f"broken: {error}")
+            self._choice.record_failure(request, worker, self._course, f"broken: {error}")
             await self._quarantine.handle_broken_connection(worker)
         except anyio.get_cancelled_exc_class():
             self._course.may_have_run = True
--- a/tests/unit/test_worker_choice.py
+++ b/tests/unit/test_worker_choice.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from worksramp.routing.attempts import Course, WorkerChoice
+from worksramp.routing.attempts import AttemptHistory, WorkerChoice
 from worksramp.routing.workers import WorkerDirectory, WorkerEntry
 from worksramp_emulator.simulation.clock import run_simulated
 
@@ -27,7 +27,7 @@
 
 
 def chosen(choice: WorkerChoice) -> str:
-    worker = choice.choose("app", Course())
+    worker = choice.choose("app", AttemptHistory())
     assert worker is not None
     return worker.entry.worker_id
 
@@ -65,13 +65,13 @@
         choice = WorkerChoice(workers, random.Random(1), "node")
         usual = workers.get(chosen(choice))
         assert usual is not None
-        choice.note_good(usual, 0.04)
-        other = choice.choose("app", Course(tried=[usual.entry.worker_id]))
+        choice.record_success(usual, 0.04)
+        other = choice.choose("app", AttemptHistory(tried=[usual.entry.worker_id]))
         assert other is not None
-        choice.note_good(other, 0.04)
+        choice.record_success(other, 0.04)
         for _ in range(4):
             assert chosen(choice) == usual.entry.worker_id
-            choice.note_beaten(usual, 0.12)
+            choice.record_unfinished(usual, 0.12)
         assert chosen(choice) == other.entry.worker_id
         await anyio.sleep(5.0)
         assert chosen(choice) == usual.entry.worker_id
