--- a/src/worksramp/routing/forward.py
+++ b/src/worksramp/routing/forward.py
@@ -1,6 +1,6 @@
-"""Forwards one live request: attempts, backup attempts, deadlines.
+"""Forwards live requests to workers: attempts, backup attempts and deadlines.
 
-What may have run and may not be repeated is never sent again, and never called *not run*.
+A request that may have run and must not be repeated is never sent again, and never reported as *not run*.
 """
 
 import random
@@ -39,7 +39,7 @@
     """The request has not run and will not.
 
     Attributes:
-        retry_after_seconds: when to come back.
+        retry_after_seconds: how long the caller should wait before a retry.
     """
 
     reason: str
@@ -51,7 +51,7 @@
     """The request may have run.
 
     Attributes:
-        is_late: time ran out; otherwise the answer was lost.
+        is_late: whether the time ran out; otherwise the answer was lost.
     """
 
     reason: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quarantined:
-    """The request has crashed workers before; in this try it has not run and will not."""
+    """The request is quarantined; for this submission it has not run and will not."""
 
     reason: str = "crashes_workers"
 
@@ -71,7 +71,7 @@
 
 @mechanism("backup_attempts", without=lambda route: False)
 def _may_back_up(route: Route) -> bool:
-    """Ask a second worker while the first is late, where a request may be repeated."""
+    """Return whether a request may be sent to a second worker while the first is late."""
     return route.may_repeat
 
 
@@ -79,7 +79,9 @@
     """Forwards live requests of one node.
 
     Args:
-        quarantine: shared by the node's parts; None for one that knows only what is forwarded here.
+        rng: source of random choices.
+        on_outcome: called with the route, the outcome and the seconds of each request.
+        quarantine: quarantine of the node; None creates one that covers only the requests forwarded here.
     """
 
     def __init__(
@@ -100,7 +102,7 @@
         """Forward a request and return the final outcome.
 
         Args:
-            stack: holds what a stream keeps open; closed by the caller when the answer has been passed on.
+            stack: holds the connection of a stream; the caller closes it once the answer has been passed on.
         """
         history = AttemptHistory()
         outcome = await self._forward(request, route, stack, history)
@@ -122,7 +124,8 @@
     async def _forward(
         self, request: LiveRequest, route: Route, stack: AsyncExitStack, history: AttemptHistory
     ) -> ForwardOutcome:
-        # The route bounds the workers of one try only: a caller that comes again would go on to further ones.
+        # The route limits the attempts of one submission only; a retry by the caller would reach more
+        # workers.
         if not self._quarantine.admit(request.request_id, request.fingerprint):
             return Quarantined()
         last_start = request.ends_at(route) - MIN_ATTEMPT_SECONDS
@@ -159,7 +162,7 @@
     ) -> WholeAnswer | None:
         """Send to a worker, and to a second one when the first is late and the request may be repeated."""
         ends_at = request.ends_at(route)
-        # Under a suspect a second worker might crash too, before the end of the first is known.
+        # A backup attempt of a suspect might crash a second worker before the crash of the first is known.
         is_suspect = self._quarantine.is_suspect(request.fingerprint)
         if is_suspect or not _may_back_up(route) or not history.has_attempt_left(route):
             return await self._attempt(request, worker, ends_at, history)
@@ -180,7 +183,7 @@
 
     @staticmethod
     def _unless_failed(answer: WholeAnswer | None, history: AttemptHistory) -> WholeAnswer | None:
-        """Keep a worker's failure for the case that no other worker does better."""
+        """Return the answer unless it is a server error, which is kept in case no attempt succeeds."""
         if answer is None or answer.status < FIRST_SERVER_ERROR_STATUS:
             return answer
         history.failure = answer
@@ -189,7 +192,7 @@
     async def _attempt(
         self, request: LiveRequest, worker: WorkerState, ends_at: float, history: AttemptHistory
     ) -> WholeAnswer | None:
-        """Send to one worker and read the whole answer; None when another attempt is needed."""
+        """Send to one worker and return its complete answer, or None if another attempt is needed."""
         started = anyio.current_time()
         running = self._quarantine.running(request.fingerprint)
         worker.begin(running)
@@ -218,7 +221,8 @@
             await self._quarantine.handle_broken_connection(worker)
         finally:
             if is_unfinished:
-                # Cancelled, or out of time: without this a worker that hangs would look as fast as before.
+                # The attempt was cancelled or ran out of time. Without this, a worker that hangs would keep
+                # its low latency.
                 self._choice.record_unfinished(worker, anyio.current_time() - started)
             worker.end(running)
         return None
--- a/tests/unit/test_forward.py
+++ b/tests/unit/test_forward.py
@@ -1,4 +1,4 @@
-"""Attempts of live requests: what may be sent again, what is called not run, and whose answer comes back."""
+"""Attempts of live requests: which may be repeated, when a request is not run, and whose answer is used."""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -32,7 +32,7 @@
 
 @dataclass
 class Script:
-    """What the n-th attempt meets."""
+    """Behaviour of the worker at the n-th attempt."""
 
     kind: str
     seconds: float = 0.01
@@ -96,13 +96,13 @@
     )  # fmt: skip
 
 
-def play(
+def forward_one(
     port: ScriptedPort,
     on: Route,
     num_workers: int = 3,
     take: Callable[[ForwardOutcome], object] | None = None,
 ) -> tuple[ForwardOutcome, float, bytes]:
-    """Forward one request; return outcome, seconds, and the bytes of a stream."""
+    """Forward one request; return the outcome, the seconds it took, and the bytes of a stream."""
     configure_logs("error")
     directory = WorkerDirectory()
     for number in range(num_workers):
@@ -130,77 +130,77 @@
 
 @pytest.mark.parametrize("kind", [RouteKind.IDEMPOTENT, RouteKind.NON_IDEMPOTENT])
 @pytest.mark.parametrize("first", ["unreachable", "full", "other"])
-def test_what_has_certainly_not_run_goes_to_another_worker(first: str, kind: RouteKind) -> None:
+def test_a_request_that_has_certainly_not_run_is_sent_to_another_worker(first: str, kind: RouteKind) -> None:
     port = ScriptedPort([Script(first), Script("answer")])
-    outcome, _, _ = play(port, route(kind))
+    outcome, _, _ = forward_one(port, route(kind))
     assert isinstance(outcome, WholeAnswer) and outcome.status == 200
     assert len({worker for worker, _ in port.sent}) == 2
 
 
-def test_a_broken_answer_is_tried_again_only_where_that_is_allowed() -> None:
+def test_a_request_with_a_broken_answer_is_repeated_only_where_that_is_allowed() -> None:
     port = ScriptedPort([Script("broken"), Script("answer")])
-    assert isinstance(play(port, route(RouteKind.IDEMPOTENT))[0], WholeAnswer)
+    assert isinstance(forward_one(port, route(RouteKind.IDEMPOTENT))[0], WholeAnswer)
     port = ScriptedPort([Script("broken"), Script("answer")])
-    outcome, _, _ = play(port, route(RouteKind.NON_IDEMPOTENT))
+    outcome, _, _ = forward_one(port, route(RouteKind.NON_IDEMPOTENT))
     assert isinstance(outcome, MayHaveRun) and not outcome.is_late
     assert len(port.sent) == 1
 
 
-def test_no_more_workers_than_the_route_allows() -> None:
+def test_a_request_is_sent_to_no_more_workers_than_the_route_allows() -> None:
     port = ScriptedPort([Script("full"), Script("full"), Script("answer")])
-    outcome, _, _ = play(port, route(RouteKind.IDEMPOTENT, max_attempts=2))
+    outcome, _, _ = forward_one(port, route(RouteKind.IDEMPOTENT, max_attempts=2))
     assert isinstance(outcome, NotRun) and outcome.retry_after_seconds > 0
     assert len(port.sent) == 2
 
 
-def test_workers_that_refuse_connections_take_no_attempt_and_silent_ones_do() -> None:
+def test_refused_connections_do_not_count_as_attempts_and_silent_workers_do() -> None:
     port = ScriptedPort([Script("refusing"), Script("refusing"), Script("full"), Script("answer")])
-    outcome, _, _ = play(port, route(RouteKind.NON_IDEMPOTENT), num_workers=4)
+    outcome, _, _ = forward_one(port, route(RouteKind.NON_IDEMPOTENT), num_workers=4)
     assert isinstance(outcome, WholeAnswer) and len(port.sent) == 4
     port = ScriptedPort([Script("unreachable"), Script("unreachable"), Script("answer")])
-    assert isinstance(play(port, route(RouteKind.IDEMPOTENT))[0], NotRun)
+    assert isinstance(forward_one(port, route(RouteKind.IDEMPOTENT))[0], NotRun)
 
 
-def test_a_request_is_given_up_at_once_where_all_workers_refuse() -> None:
+def test_a_request_fails_at_once_if_all_workers_refuse_connections() -> None:
     port = ScriptedPort([Script("refusing")] * 30)
-    outcome, seconds, _ = play(port, route(RouteKind.IDEMPOTENT), num_workers=30)
+    outcome, seconds, _ = forward_one(port, route(RouteKind.IDEMPOTENT), num_workers=30)
     assert isinstance(outcome, NotRun) and seconds < 0.05
     assert len(port.sent) == 10
 
 
-def test_a_request_given_up_on_is_answered_at_once() -> None:
+def test_a_request_without_attempts_left_is_answered_at_once() -> None:
     port = ScriptedPort([Script("full"), Script("full")])
-    _, seconds, _ = play(port, route(RouteKind.IDEMPOTENT))
+    _, seconds, _ = forward_one(port, route(RouteKind.IDEMPOTENT))
     assert seconds < 0.05
-    outcome, seconds, _ = play(ScriptedPort([]), route(RouteKind.IDEMPOTENT), num_workers=0)
+    outcome, seconds, _ = forward_one(ScriptedPort([]), route(RouteKind.IDEMPOTENT), num_workers=0)
     assert isinstance(outcome, NotRun) and seconds == 0
 
 
-def test_a_late_worker_is_backed_up_and_the_first_answer_wins() -> None:
+def test_a_late_attempt_gets_a_backup_and_the_first_answer_wins() -> None:
     port = ScriptedPort([Script("answer", 5.0), Script("answer", 0.02)])
-    outcome, seconds, _ = play(port, route(RouteKind.IDEMPOTENT))
+    outcome, seconds, _ = forward_one(port, route(RouteKind.IDEMPOTENT))
     assert isinstance(outcome, WholeAnswer)
     assert outcome.headers == ((b"worker", port.sent[1][0].encode()),)
     assert 0.1 < seconds < 0.15
 
 
-def test_no_backup_where_a_request_may_run_once_only() -> None:
+def test_a_request_that_may_run_only_once_gets_no_backup() -> None:
     port = ScriptedPort([Script("answer", 0.5)])
-    outcome, _, _ = play(port, route(RouteKind.NON_IDEMPOTENT))
+    outcome, _, _ = forward_one(port, route(RouteKind.NON_IDEMPOTENT))
     assert isinstance(outcome, WholeAnswer) and len(port.sent) == 1
 
 
-def test_the_time_out_of_the_route_ends_it_as_perhaps_run() -> None:
+def test_a_request_that_exceeds_the_timeout_of_the_route_may_have_run() -> None:
     port = ScriptedPort([Script("answer", 5.0), Script("answer", 5.0)])
-    outcome, seconds, _ = play(port, route(RouteKind.IDEMPOTENT))
+    outcome, seconds, _ = forward_one(port, route(RouteKind.IDEMPOTENT))
     assert isinstance(outcome, MayHaveRun) and outcome.is_late
     assert seconds == pytest.approx(0.8)
     assert all((request.deadline_seconds or 9) <= 0.8 for _, request in port.sent)
 
 
-def test_a_workers_failure_is_passed_on_when_no_other_does_better() -> None:
+def test_a_workers_server_error_is_returned_if_no_other_attempt_succeeds() -> None:
     port = ScriptedPort([Script("answer", status=500), Script("answer", status=500)])
-    outcome, _, _ = play(port, route(RouteKind.IDEMPOTENT))
+    outcome, _, _ = forward_one(port, route(RouteKind.IDEMPOTENT))
     assert isinstance(outcome, WholeAnswer) and outcome.status == 500
 
 
@@ -208,32 +208,32 @@
     return f"id: {number}\ndata: d{number}\n\n"
 
 
-def test_a_broken_stream_goes_on_after_its_last_whole_event() -> None:
+def test_a_broken_stream_is_resumed_after_its_last_complete_event() -> None:
     port = ScriptedPort(
         [
             Script("cut", events=(event(1), event(2), "id: 3\nda")),
             Script("answer", events=(event(3), event(4))),
         ]
     )
-    outcome, _, streamed = play(port, route(RouteKind.STREAMING, is_resumable=True))
+    outcome, _, streamed = forward_one(port, route(RouteKind.STREAMING, is_resumable=True))
     assert isinstance(outcome, StreamAnswer)
     assert streamed.decode() == "".join(event(number) for number in (1, 2, 3, 4))
     assert [request.resume_after for _, request in port.sent] == [None, "2"]
 
 
-def test_a_stream_that_may_not_be_resumed_is_left_visibly_unfinished() -> None:
+def test_a_stream_that_may_not_be_resumed_ends_with_an_error() -> None:
     port = ScriptedPort([Script("cut", events=(event(1), "id: 2\nda"))])
-    _, _, streamed = play(port, route(RouteKind.STREAMING))
+    _, _, streamed = forward_one(port, route(RouteKind.STREAMING))
     assert streamed.decode() == event(1) + "(cut)"
 
 
 def test_a_stream_that_ends_inside_an_event_is_not_complete() -> None:
     port = ScriptedPort([Script("answer", events=(event(1), "id: 2\nda"))])
-    _, _, streamed = play(port, route(RouteKind.STREAMING))
+    _, _, streamed = forward_one(port, route(RouteKind.STREAMING))
     assert streamed.decode() == event(1) + "(cut)"
 
 
-def test_a_stream_that_was_refused_is_opened_elsewhere() -> None:
+def test_a_refused_stream_is_opened_at_another_worker() -> None:
     port = ScriptedPort([Script("full"), Script("answer", events=(event(1),))])
-    outcome, _, streamed = play(port, route(RouteKind.STREAMING))
+    outcome, _, streamed = forward_one(port, route(RouteKind.STREAMING))
     assert isinstance(outcome, StreamAnswer) and streamed.decode() == event(1)
--- a/tests/unit/test_worker_choice.py
+++ b/tests/unit/test_worker_choice.py
@@ -1,4 +1,4 @@
-"""Which worker a node sends live requests to."""
+"""Choice of the worker that a node sends a live request to."""
 
 import random
 from collections import Counter
@@ -32,48 +32,48 @@
     return worker.entry.worker_id
 
 
-def test_a_node_keeps_to_its_usual_worker_and_nodes_have_different_ones() -> None:
+def test_a_node_keeps_to_its_preferred_worker_and_nodes_prefer_different_ones() -> None:
     def work() -> None:
         workers = directory()
-        usual: list[str] = []
+        preferred: list[str] = []
         for node in range(40):
             choice = WorkerChoice(workers, random.Random(1), f"node-{node}")
             names = {chosen(choice) for _ in range(20)}
             assert len(names) == 1
-            usual += names
-        counts = Counter(usual)
+            preferred += names
+        counts = Counter(preferred)
         assert len(counts) == 4 and max(counts.values()) <= 20
 
     at_time(0.0, work)
 
 
-def test_a_loaded_usual_worker_shares_its_requests() -> None:
+def test_requests_spill_over_from_a_loaded_preferred_worker() -> None:
     def work() -> None:
         workers = directory()
         choice = WorkerChoice(workers, random.Random(1), "node")
-        usual = workers.get(chosen(choice))
-        assert usual is not None
-        usual.num_in_flight = 3
-        assert usual.entry.worker_id not in {chosen(choice) for _ in range(20)}
+        preferred = workers.get(chosen(choice))
+        assert preferred is not None
+        preferred.num_in_flight = 3
+        assert preferred.entry.worker_id not in {chosen(choice) for _ in range(20)}
 
     at_time(0.0, work)
 
 
-def test_a_worker_that_backups_beat_is_left_for_the_next_one_and_tried_again_later() -> None:
+def test_a_worker_slower_than_its_backups_is_replaced_by_the_next_one_and_used_again_later() -> None:
     async def main() -> None:
         workers = directory()
         choice = WorkerChoice(workers, random.Random(1), "node")
-        usual = workers.get(chosen(choice))
-        assert usual is not None
-        choice.record_success(usual, 0.04)
-        other = choice.choose("app", AttemptHistory(tried=[usual.entry.worker_id]))
+        preferred = workers.get(chosen(choice))
+        assert preferred is not None
+        choice.record_success(preferred, 0.04)
+        other = choice.choose("app", AttemptHistory(tried=[preferred.entry.worker_id]))
         assert other is not None
         choice.record_success(other, 0.04)
         for _ in range(4):
-            assert chosen(choice) == usual.entry.worker_id
-            choice.record_unfinished(usual, 0.12)
+            assert chosen(choice) == preferred.entry.worker_id
+            choice.record_unfinished(preferred, 0.12)
         assert chosen(choice) == other.entry.worker_id
         await anyio.sleep(5.0)
-        assert chosen(choice) == usual.entry.worker_id
+        assert chosen(choice) == preferred.entry.worker_id
 
     run_simulated(main, 1)
