--- a/src/worksramp/routing/hedge.py
+++ b/src/worksramp/routing/hedge.py
@@ -1,4 +1,4 @@
-"""A backup attempt for one that is late."""
+"""Starts a backup attempt when the first one is late (request hedging)."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -12,13 +12,13 @@
 async def first_result(
     primary: Attempt[ResultT], backup: Attempt[ResultT], delay_seconds: float
 ) -> ResultT | None:
-    """Return the first result of two attempts, cancelling the other.
+    """Return the first result of two attempts and cancel the other attempt.
 
-    The backup starts once the primary has taken ``delay_seconds``. When the primary ends without a result
-    sooner, nothing is started: the caller decides what comes next.
+    The backup starts if the primary has not ended after ``delay_seconds``. If the primary ends earlier
+    without a result, the backup is not started; the caller decides what to do next.
 
     Returns:
-        None when neither attempt had a result.
+        The first result, or None if no attempt returned one.
     """
     results: list[ResultT] = []
     primary_ended = anyio.Event()
