--- a/src/worksramp/routing/failure_tracker.py
+++ b/src/worksramp/routing/failure_tracker.py
@@ -1,12 +1,12 @@
-"""Which workers fail part of what they are given, whatever their health checks say."""
+"""Detects workers that fail a large share of their work, whatever their health checks report."""
 
 from dataclasses import dataclass
 
-#: An outcome weighs half as much after this time: a worker that recovers is soon tried again.
+#: Time after which the weight of an outcome is halved, so that a recovered worker is soon used again.
 HALF_LIFE_S = 3.0
-#: Weight of failures below which nothing is said: one failure may be chance.
+#: Weight of failures below which a worker never counts as failing, because a single failure may be chance.
 MIN_FAILURES = 1.5
-SUSPECT_SHARE = 0.25
+MIN_FAILURE_SHARE = 0.25
 
 
 @dataclass(slots=True)
@@ -16,7 +16,7 @@
     at: float = 0.0
 
     def decay_to(self, now: float) -> None:
-        """Let what was seen weigh less."""
+        """Reduce the weight of earlier outcomes according to their age."""
         factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
         self.successes *= factor
         self.failures *= factor
@@ -24,16 +24,17 @@
 
 
 class FailureTracker:
-    """Recent successes and failures of each worker."""
+    """Counts recent successes and failures of each worker, weighted by age."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def observe(self, worker_id: str, is_failure: bool, now: float) -> None:
-        """Take in one outcome.
+        """Record one outcome.
 
         Args:
-            is_failure: the worker broke it off, failed it or fell silent; a refusal is none.
+            is_failure: whether the worker was unreachable, aborted or failed the work, or stopped sending; an
+                answer that refuses the work does not count.
         """
         record = self._records.setdefault(worker_id, _Record(at=now))
         record.decay_to(now)
@@ -43,17 +44,17 @@
             record.successes += 1.0
 
     def forget(self, worker_id: str) -> None:
-        """Take in that the worker has started again."""
+        """Discard the outcomes of a worker that has restarted."""
         self._records.pop(worker_id, None)
 
     def suspects(self, now: float) -> frozenset[str]:
-        """Return the workers that fail a large share, to be used after all others."""
+        """Return the IDs of workers that fail a large share of their work; others are used before them."""
         for record in self._records.values():
             record.decay_to(now)
-        return frozenset(worker_id for worker_id, record in self._records.items() if _is_suspect(record))
+        return frozenset(worker_id for worker_id, record in self._records.items() if _is_failing(record))
 
 
-def _is_suspect(record: _Record) -> bool:
+def _is_failing(record: _Record) -> bool:
     if record.failures < MIN_FAILURES:
         return False
-    return record.failures >= SUSPECT_SHARE * (record.failures + record.successes)
+    return record.failures >= MIN_FAILURE_SHARE * (record.failures + record.successes)
