--- a/src/worksramp/routing/live_stream.py
+++ b/src/worksramp/routing/live_stream.py
@@ -1,4 +1,4 @@
-"""Forwards one live stream: whole events, taken up at another worker where the route allows it."""
+"""Forwards a live stream in complete events, and resumes it at another worker if the route allows that."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamAnswer:
-    """A worker's stream; ``events`` raises WorkerAnswerBrokenError when it cannot be brought to its end."""
+    """A worker's stream; ``events`` raises WorkerAnswerBrokenError if the stream cannot be completed."""
 
     status: int
     headers: HeaderList
@@ -41,11 +41,7 @@
 
 
 class LiveStream:
-    """One stream from its first attempt to its end.
-
-    Args:
-        ends_at: no attempt begins after this.
-    """
+    """One stream from its first attempt to its end. No attempt begins after the request's end time."""
 
     def __init__(
         self,
@@ -63,26 +59,27 @@
         self._route = route
         self._course = history
         self._ends_at = request.ends_at(route)
-        self._opened = AsyncExitStack()
+        self._attempt_stack = AsyncExitStack()
         self._worker: WorkerState | None = None
 
     async def open(self, worker: WorkerState, stack: AsyncExitStack) -> StreamAnswer | WholeAnswer | None:
-        """Open the stream at a worker; None when another attempt is needed.
+        """Open the stream at a worker; return None if another attempt is needed.
 
         Args:
-            stack: holds the connection until the stream has been passed on.
+            stack: keeps the connection open until the caller has passed on the stream.
         """
-        stack.push_async_callback(self._opened.aclose)
+        stack.push_async_callback(self._attempt_stack.aclose)
         answer: WorkerAnswer | None = None
         with anyio.move_on_after(max(0.0, self._ends_at - anyio.current_time())):
             answer = await self._send(worker, self._request)
             if answer is not None and answer.status >= FIRST_FAILURE_STATUS:
-                return await self._failure(answer, worker)
+                return await self._read_failure(answer, worker)
         if answer is None:
             return None
         return StreamAnswer(answer.status, answer.headers, self._events(answer))
 
-    async def _failure(self, answer: WorkerAnswer, worker: WorkerState) -> WholeAnswer | None:
+    async def _read_failure(self, answer: WorkerAnswer, worker: WorkerState) -> WholeAnswer | None:
+        """Return an error answer with its complete body, or None if the body could not be read."""
         try:
             body = b"".join([chunk async for chunk in answer.body])
         except WorkerAnswerBrokenError as error:
@@ -90,19 +87,19 @@
             await self._quarantine.handle_broken_connection(worker)
             return None
         finally:
-            await self._opened.aclose()
+            await self._attempt_stack.aclose()
         return WholeAnswer(answer.status, answer.headers, body)
 
     async def _send(self, worker: WorkerState, request: LiveRequest) -> WorkerAnswer | None:
-        """Send to one worker; None when it has not run or its answer was lost."""
+        """Send to one worker; return None if the request has not run there or the answer was lost."""
         running = self._quarantine.running(request.fingerprint)
         self._worker = worker
         worker.begin(running)
-        self._opened.callback(worker.end, running)
+        self._attempt_stack.callback(worker.end, running)
         is_open = False
         try:
             sending = self._port.send(worker.entry, to_worker_request(request, self._ends_at))
-            answer = await self._opened.enter_async_context(sending)
+            answer = await self._attempt_stack.enter_async_context(sending)
             is_open = not self._choice.record_answer_head(answer, worker, self._course)
             return answer if is_open else None
         except WorkerUnreachableError as error:
@@ -118,10 +115,11 @@
             raise
         finally:
             if not is_open:
-                await self._opened.aclose()
+                await self._attempt_stack.aclose()
         return None
 
     async def _events(self, answer: WorkerAnswer) -> AsyncIterator[bytes]:
+        """Yield complete events, and resume the stream whenever it breaks."""
         last_id = self._request.resume_after
         while True:
             splitter = EventSplitter()
@@ -138,17 +136,17 @@
                 reason = str(error)
             if self._worker is not None:
                 await self._quarantine.handle_broken_connection(self._worker)
-            await self._opened.aclose()
+            await self._attempt_stack.aclose()
             logger.info(
                 "stream_broken", request_id=self._request.request_id, last_event_id=last_id, reason=reason
             )
             answer = await self._resume(last_id, reason)
 
     async def _resume(self, last_id: str | None, reason: str) -> WorkerAnswer:
-        """Go on after the last whole event at another worker.
+        """Resume the stream after the last complete event at another worker.
 
         Raises:
-            WorkerAnswerBrokenError: the route does not allow it, or no worker takes it up.
+            WorkerAnswerBrokenError: the route does not allow it, or no worker resumes the stream.
         """
         request = replace(self._request, resume_after=last_id)
         while self._may_resume():
@@ -159,7 +157,7 @@
             answer = await self._send(worker, request)
             if answer is not None and answer.status < FIRST_FAILURE_STATUS:
                 return answer
-            await self._opened.aclose()
+            await self._attempt_stack.aclose()
         raise WorkerAnswerBrokenError(f"not resumed: {reason}")
 
     def _may_resume(self) -> bool:
