--- a/src/worksramp/routing/events.py
+++ b/src/worksramp/routing/events.py
@@ -1,16 +1,16 @@
-"""Whole events of a ``text/event-stream``, cut out of the bytes as they arrive."""
+"""Splits the bytes of a ``text/event-stream`` into complete events as they arrive."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event.
+    """One complete event.
 
     Attributes:
-        block: its bytes with the empty line that ends it, for forwarding.
-        event_id: None when it names none.
-        data: its data lines joined by line feeds.
+        block: bytes of the event including the empty line that ends it, for forwarding.
+        event_id: value of the ``id`` field, None if there is none.
+        data: data lines joined by line feeds.
         fields: the other fields, name to value.
     """
 
@@ -39,18 +39,18 @@
 
 
 class EventSplitter:
-    """Collects bytes and hands out whole events."""
+    """Buffers received bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether part of an event is waiting for its end."""
+        """Whether the buffer holds the beginning of an incomplete event."""
         return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are whole now."""
+        """Add received bytes and return the events that are complete now."""
         self._buffer += data
         events: list[StreamEvent] = []
         while True:
@@ -63,9 +63,9 @@
                 events.append(_parse(block))
 
     def _find_end(self) -> tuple[int, int]:
-        """Return where the first event ends, and the length of the empty line."""
-        plain = self._buffer.find(b"\n\n")
-        carriage = self._buffer.find(b"\r\n\r\n")
-        if carriage >= 0 and (plain < 0 or carriage < plain):
-            return carriage, 4
-        return plain, 2
+        """Return the index where the first event ends, -1 if none does, and the length of its empty line."""
+        lf_end = self._buffer.find(b"\n\n")
+        crlf_end = self._buffer.find(b"\r\n\r\n")
+        if crlf_end >= 0 and (lf_end < 0 or crlf_end < lf_end):
+            return crlf_end, 4
+        return lf_end, 2
