--- a/src/worksramp/routing/table.py
+++ b/src/worksramp/routing/table.py
@@ -1,4 +1,4 @@
-"""Routes of requests that are forwarded: by host and the longest path prefix."""
+"""Route table: matches a request to a route by host and longest path prefix."""
 
 import random
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class RouteKind(StrEnum):
-    """What a route's requests are and whether they may be repeated."""
+    """Kind of a route's requests, which decides whether they may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SplitPart:
-    """Share of a route's requests that one service gets."""
+    """Share of a route's requests that is sent to one service."""
 
     service: str
     weight: float
@@ -27,12 +27,12 @@
     """One route.
 
     Attributes:
-        timeout_seconds: longest time a request is held; None for no bound.
-        objective_seconds: time in which an answer is worth most.
-        max_attempts: most workers that one request is sent to.
+        timeout_seconds: maximum time until the final answer; None for no limit.
+        objective_seconds: time within which an answer is worth most.
+        max_attempts: maximum number of workers that one request is sent to.
         priority: 0 is the most urgent.
-        is_resumable: a broken stream may go on at another worker.
-        needs_one_version: all text of an item must come from one version of the weights.
+        is_resumable: whether a broken stream may be resumed at another worker.
+        needs_one_version: whether all text of an item must come from one weight version.
         keep_seconds: age of a batch at which its items may be given up.
         target_seconds: age of a batch at which its results are due.
     """
@@ -59,7 +59,7 @@
         )
 
     def choose_service(self, source: random.Random) -> str:
-        """Return a service of the split, each by its weight."""
+        """Return a service of the split, chosen at random by weight."""
         if len(self.parts) == 1:
             return self.parts[0].service
         weights = [part.weight for part in self.parts]
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What the configuration says of a service.
+    """Configuration of a service.
 
     Attributes:
-        max_connections: connections that one of its workers takes from all callers together.
-        models: names of the models that its workers hold.
-        num_slots: requests that a worker runs at once; 0 where only the worker's own entry says.
-        num_memory_tokens: tokens of memory of a worker; 0 where it has none.
-        tokens_per_event: tokens that one event of a stream holds.
+        max_connections: connections that one worker accepts from all of its clients together.
+        models: names of the models that the workers hold.
+        num_slots: requests that a worker runs at the same time; 0 if only the worker's entry states it.
+        num_memory_tokens: memory of a worker in tokens; 0 if it has none.
+        tokens_per_event: tokens per event of a stream.
     """
 
     name: str
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers send."""
+    """Limits on requests and connections of callers."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 32 * 1024 * 1024
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One version of the configuration that is in force as a whole."""
+    """Routes, services and limits of one configuration version, which is in force as a whole."""
 
     version: int
     routes: tuple[Route, ...]
@@ -113,10 +113,10 @@
         object.__setattr__(self, "_index", index)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route for a request, None when there is none.
+        """Return the route for a request, or None if there is none.
 
-        Prefixes begin and end with a slash, so that the longest one is found by cutting the path at its
-        slashes: as many look-ups as the path has parts, however many routes there are.
+        Prefixes begin and end with a slash, so the longest match is found by shortening the path slash by
+        slash. This takes at most one lookup per slash of the path, however many routes there are.
         """
         end = path.rfind("/")
         while end >= 0:
--- a/tests/unit/test_route_table.py
+++ b/tests/unit/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, found by look-ups whatever the number of routes."""
+"""Matching of routes by host and longest prefix."""
 
 import itertools
 
@@ -18,12 +18,12 @@
 
 
 def longest(table: RouteTable, host: str, path: str) -> Route | None:
-    """Return the route as the rule says it, one after the other."""
+    """Return the expected route by comparing all routes."""
     found = [r for r in table.routes if r.host == host and path.startswith(r.path_prefix)]
     return max(found, key=lambda r: len(r.path_prefix), default=None)
 
 
-def test_the_longest_prefix_of_the_host_wins_as_when_all_are_tried() -> None:
+def test_the_longest_prefix_of_the_host_matches() -> None:
     chosen = [route(host, prefix) for host in HOSTS for prefix in PREFIXES[2::3]]
     table = RouteTable(1, tuple(chosen), {})
     paths = [prefix + rest for prefix in PREFIXES for rest in ("", "z", "z/", "x", "..", "/x/", "y/../x")]
@@ -33,13 +33,13 @@
             assert table.match(host, path) == longest(table, host, path), (host, path)
 
 
-def test_a_table_that_was_written_and_read_finds_the_same() -> None:
+def test_an_encoded_and_decoded_table_matches_the_same_routes() -> None:
     table = RouteTable(1, (route("a.example", "/x/"),), {})
     copy = decode(encode(table), RouteTable)
     assert copy == table
     assert copy.match("a.example", "/x/1") == table.routes[0]
 
 
-def test_the_first_of_two_routes_alike_counts() -> None:
+def test_the_first_of_two_equal_routes_is_used() -> None:
     first, second = route("a.example", "/x/"), route("a.example", "/x/")
     assert RouteTable(1, (first, second), {}).match("a.example", "/x/1") is first
