--- a/src/worksramp/routing/fleet_view.py
+++ b/src/worksramp/routing/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a fleet of workers is at, as one immutable view for those who decide about its weights."""
+"""Immutable view of the work of a fleet, used to decide which weight versions its workers load."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,10 +9,10 @@
     """Open work of one model.
 
     Attributes:
-        num_waiting: items that wait for a place.
-        min_version: oldest version that any open item may use, 0 when none is open.
-        has_one_version_work: any open item needs one version for all its text.
-        num_step_items: items that a step brings, 0 before the first.
+        num_waiting: number of items that wait for a slot.
+        min_version: oldest weight version that all open items may use, 0 if no item is open.
+        has_one_version_work: whether any item needs one weight version for all its text.
+        num_step_items: expected number of items per step, 0 before the first step.
     """
 
     num_waiting: int = 0
@@ -23,13 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a fleet is at, as of one moment.
+    """Work of a fleet at one moment.
 
     Attributes:
         models: open work by model.
-        num_runs: runs by worker and model.
-        num_taken_slots: runs of all models by worker.
-        slow_workers: workers far slower than the others now, or that fail part of what they are given.
+        num_runs: number of runs by worker ID and model.
+        num_taken_slots: number of runs of all models by worker ID.
+        slow_workers: IDs of workers that are much slower than the others now, or that fail part of their
+            work.
     """
 
     models: dict[str, ModelWork]
@@ -39,9 +40,13 @@
 
 
 class FleetWork(Protocol):
-    """What the mover asks of whoever gives work to the fleet."""
+    """Interface of the fleet's work that the version mover uses.
+
+    Attributes:
+        loading: model that each loading worker loads, by worker ID.
+    """
 
     loading: dict[str, str]
 
     def view(self) -> FleetView:
-        """Return what the fleet is at now."""
+        """Return the current work of the fleet."""
