--- a/src/worksramp/routing/choice.py
+++ b/src/worksramp/routing/choice.py
@@ -71,7 +71,7 @@
         return True
     num_slots = worker.report.max_num_seqs
     # Reports lag, and other nodes fill the same worker in the meantime: each keeps to its own part.
-    own_limit = worker.own_part(math.floor(num_slots * (1.0 - request.reserved_share)))
+    own_limit = worker.own_share(math.floor(num_slots * (1.0 - request.reserved_share)))
     # Running rollout is not preempted: a live request that finds no slot waits for the next to end. So
     # rollout leaves room for the live requests that may well come on top of the mean.
     headroom = 1.0 + LIVE_HEADROOM_DEVIATIONS * math.sqrt(worker.mean_live)
@@ -86,7 +86,7 @@
     bound = math.ceil((mean_load + 1.0) * LOAD_BOUND_FACTOR)
     for machine_id in rendezvous_order(request.prefix, by_id)[:NUM_AFFINITY_WORKERS]:
         worker = by_id[machine_id]
-        if worker.estimated_load < bound and worker.has_room:
+        if worker.estimated_load < bound and worker.has_free_slot:
             return worker
     return None
 
--- a/src/worksramp/routing/leases.py
+++ b/src/worksramp/routing/leases.py
@@ -1,8 +1,9 @@
-"""Report leases: a worker may be given work only while a recent report says that it is not leaving.
+"""Report leases: a worker gets work only while a recent report states that it is not draining.
 
-Each load report is a lease that runs from when the report was asked for, less the age that the worker
-itself states. A worker that leaves at time T can be given nothing after T plus `LEASE_SECONDS`, whatever
-becomes of the machine list, of gossip or of later reports. Evidence of leaving is sticky.
+Each load report is a lease that starts when the report was requested, less the age that the worker states for
+it. A worker that starts draining at time T therefore gets no work after T plus `LEASE_SECONDS`, whatever
+happens to the machine list, to gossip or to later reports. Once a worker is known to be draining, it stays
+so.
 
 See Also:
     docs/design/routing.md, "Leaving back ends"
@@ -21,16 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """A machine that may be given work, with its newest report.
+    """A worker with its latest report.
 
     Attributes:
-        asked_at: when the report was asked for, on this node's clock.
-        num_in_flight: this node's own requests there now.
-        num_rollout_in_flight: those of them that are rollout.
-        num_in_flight_at_report: the same when the report was asked for.
-        num_sharers: how many nodes are expected to use this worker, this one included.
-        mean_live: live requests that the worker is estimated to hold on average, from all nodes.
-        share_rank: from 0 below ``num_sharers``, by hash; says who gets what does not divide evenly.
+        machine: entry of the worker in the machine list.
+        asked_at: when the report was requested, on this node's clock.
+        num_in_flight: number of this node's own requests at the worker now.
+        num_rollout_in_flight: how many of them are rollout requests.
+        num_in_flight_at_report: value of ``num_in_flight`` when the report was recorded.
+        num_sharers: number of nodes expected to use this worker, including this one.
+        share_rank: rank of this node among them, from 0, by hash; decides which nodes get the remainder if
+            the slots do not divide evenly.
+        mean_live: estimated mean number of live requests at the worker, from all nodes.
     """
 
     machine: Machine
@@ -45,28 +48,28 @@
 
     @property
     def estimated_load(self) -> int:
-        """Requests on the worker: the lagged report and what this node has sent since."""
+        """Number of requests at the worker: the delayed report plus the requests this node has sent since."""
         num_sent_since = max(0, self.num_in_flight - self.num_in_flight_at_report)
         return self.report.num_running + self.report.num_queued + num_sent_since
 
-    def own_part(self, num_slots: int) -> int:
-        """Return how many of so many slots this node may fill by itself."""
+    def own_share(self, num_slots: int) -> int:
+        """Return how many of the given slots this node may fill by itself."""
         return (num_slots + self.num_sharers - 1 - self.share_rank) // self.num_sharers
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether another request would start at once."""
         return self.estimated_load < self.report.max_num_seqs
 
     @property
     def expires_at(self) -> float:
-        """When the lease ends, on this node's clock."""
+        """Time when the lease ends, on this node's clock."""
         return self.asked_at - self.report.age_seconds + LEASE_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class _HeldReport:
-    """A report, and what this node had in flight on the worker when it was taken."""
+    """A report, and the number of requests this node had at the worker when the report was recorded."""
 
     report: WorkerReport
     asked_at: float
@@ -74,10 +77,10 @@
 
 
 class WorkerTable:
-    """The workers of one group (a fleet or an application) as one node knows them.
+    """One node's view of the workers of a group, which is a fleet or an application.
 
     Args:
-        node_id: seeds this node's rank among those that share a worker.
+        node_id: ID of this node, from which its rank among the nodes that share a worker is derived.
     """
 
     def __init__(self, node_id: str = "") -> None:
@@ -91,7 +94,11 @@
         self._mean_own_live = 0.0
 
     def set_machines(self, machines: tuple[Machine, ...]) -> None:
-        """Take the machine list's view; a leaving mark in it is sticky for that incarnation."""
+        """Replace the machines by those of the machine list.
+
+        A machine that is marked as draining stays so for its incarnation. Reports of other machines are
+        discarded.
+        """
         self._machines = {machine.machine_id: machine for machine in machines}
         for machine in machines:
             if machine.is_leaving:
@@ -100,11 +107,15 @@
         self._reports = {key: value for key, value in self._reports.items() if key in known}
 
     def machines(self) -> tuple[Machine, ...]:
-        """Return the machines of the group, leaving ones included."""
+        """Return the machines of the group, including draining ones."""
         return tuple(self._machines.values())
 
-    def take_report(self, machine_id: str, report: WorkerReport, asked_at: float) -> None:
-        """Take a load report; an older one than is held is ignored."""
+    def record_report(self, machine_id: str, report: WorkerReport, asked_at: float) -> None:
+        """Record a load report, unless a newer one is recorded already.
+
+        Args:
+            asked_at: when the report was requested, on this node's clock.
+        """
         held = self._reports.get(machine_id)
         if held is not None and held.asked_at - held.report.age_seconds > asked_at - report.age_seconds:
             return
@@ -115,37 +126,42 @@
             self.mark_leaving(machine_id)
 
     def mark_leaving(self, machine_id: str) -> None:
-        """Note evidence that this incarnation of a machine is leaving; it is never taken back."""
+        """Mark the current incarnation of a machine as draining, permanently."""
         machine = self._machines.get(machine_id)
         if machine is not None:
             self._leaving.add((machine_id, machine.incarnation))
 
     def drop_lease(self, machine_id: str) -> None:
-        """Stop using a worker until it reports again, after it failed a request."""
+        """Stop using a worker that failed a request, until it reports again."""
         self._reports.pop(machine_id, None)
 
     def begin(self, machine_id: str, is_rollout: bool) -> None:
-        """Count a request sent to a worker."""
+        """Count a request that is sent to a worker."""
         self._in_flight[machine_id] += 1
         if is_rollout:
             self._rollout_in_flight[machine_id] += 1
 
     def end(self, machine_id: str, is_rollout: bool) -> None:
-        """Count a request to a worker as over."""
+        """Stop counting a request that has ended at a worker."""
         self._in_flight[machine_id] -= 1
         if is_rollout:
             self._rollout_in_flight[machine_id] -= 1
 
     def usable(self, now: float) -> tuple[Worker, ...]:
-        """Return the workers that hold a lease now and show no evidence of leaving."""
+        """Return the workers that have a valid lease and are not known to be draining.
+
+        Args:
+            now: current time on this node's clock.
+        """
         return tuple(worker for worker in self._workers() if self._is_usable(worker, now))
 
     def reported_versions(self) -> dict[str, int]:
-        """Return the weight version that each worker last reported, by machine id."""
+        """Return the weight version that each worker last reported, by machine ID."""
         return {key: held.report.weight_version for key, held in self._reports.items()}
 
     def _workers(self) -> list[Worker]:
-        # This node sees its own live requests only; the nodes that share a worker are taken as alike.
+        # This node can count only its own live requests; the other nodes that share a worker are assumed to
+        # send as many.
         mean_live = self._mean_own_live * self.num_sharers / max(1, len(self._machines))
         return [
             Worker(
--- a/src/worksramp/routing/pool.py
+++ b/src/worksramp/routing/pool.py
@@ -94,4 +94,4 @@
         except (StepError, TimeoutError):
             # No report, no lease: the old one runs out by itself.
             return
-        self.table.take_report(machine.machine_id, report, asked_at)
+        self.table.record_report(machine.machine_id, report, asked_at)
--- a/tests/unit/test_not_run.py
+++ b/tests/unit/test_not_run.py
@@ -63,7 +63,7 @@
 async def lease_all(pool: WorkerPool, client: BreakThenRefuse) -> None:
     for machine in pool.table.machines():
         report = await client.report(machine.address)
-        pool.table.take_report(machine.machine_id, report, anyio.current_time())
+        pool.table.record_report(machine.machine_id, report, anyio.current_time())
 
 
 def test_a_completion_that_may_have_begun_is_not_called_not_run() -> None:
