--- a/src/worksramp/routing/choice.py
+++ b/src/worksramp/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choice of a worker: prompt prefix affinity with bounded load, then the lesser of two.
+"""Chooses a worker: by prompt prefix affinity with bounded load, otherwise the less loaded of two at random.
 
 Source: Mirrokni, Thorup, Zadimoghaddam, "Consistent hashing with bounded loads", 2018; Mitzenmacher,
 "The power of two choices in randomized load balancing", 2001.
@@ -22,17 +22,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """What the choice depends on.
+    """Properties of a request that the choice of a worker depends on.
 
     Attributes:
-        prefix: beginning of the prompt; requests that share it share a worker's prefix cache.
-        zone: the node's zone, preferred at equal load.
-        excluded: machine ids that failed this request already.
-        min_weight_version: workers that report older weights are not used.
-        reserved_share: share of each worker's slots that rollout must not fill; 0 for live requests,
-            which may use all.
-        prefers_newest: whether a worker with newer weights goes before one with less load; a sample
-            begun on weights that are about to change has lost a version of its staleness bound.
+        prefix: beginning of the prompt; requests with the same prefix share a worker's prefix cache.
+        zone: zone of the node, preferred at equal load.
+        excluded: IDs of machines that have already failed this request.
+        min_weight_version: workers that report an older weight version are not used.
+        reserved_share: share of each worker's slots that rollout must not use; 0 for live requests, which may
+            use all slots.
+        prefers_newest: whether newer weights take precedence over less load. A sample that starts on weights
+            which are about to be replaced loses one version of its staleness bound.
     """
 
     prefix: str = ""
@@ -46,8 +46,8 @@
 def choose_worker(workers: tuple[Worker, ...], request: RouteRequest, rng: random.Random) -> Worker | None:
     """Return the worker to use, or None if none may be used now.
 
-    The workers that the prefix hashes to are taken while their load is within a bound of the mean;
-    otherwise two at random, and the one with less load.
+    A worker that the prefix hashes to is used while its load is within a bound relative to the mean load.
+    Otherwise the less loaded of two random workers is used.
     """
     allowed = tuple(worker for worker in workers if _is_allowed(worker, request))
     if not allowed:
@@ -70,10 +70,11 @@
     if request.reserved_share == 0.0:
         return True
     num_slots = worker.report.max_num_seqs
-    # Reports lag, and other nodes fill the same worker in the meantime: each keeps to its own part.
+    # Reports are delayed, and other nodes use the same worker in the meantime, so each node keeps to its
+    # share.
     own_limit = worker.own_share(math.floor(num_slots * (1.0 - request.reserved_share)))
-    # Running rollout is not preempted: a live request that finds no slot waits for the next to end. So
-    # rollout leaves room for the live requests that may well come on top of the mean.
+    # Running rollout requests are not preempted, so a live request without a free slot waits until one ends.
+    # Rollout therefore leaves slots free for likely peaks of live requests above the mean.
     headroom = 1.0 + LIVE_HEADROOM_DEVIATIONS * math.sqrt(worker.mean_live)
     return worker.estimated_load + headroom < num_slots and worker.num_rollout_in_flight < own_limit
 
