--- a/src/worksramp/routing/pool.py
+++ b/src/worksramp/routing/pool.py
@@ -1,4 +1,4 @@
-"""Shell around a worker table: keep leases fresh by asking for load reports, and pick workers."""
+"""Pool of workers: renews leases by requesting load reports, and chooses workers for requests."""
 
 import random
 from collections.abc import Awaitable, Callable, Iterator
@@ -12,7 +12,7 @@
 from worksramp.routing.leases import Worker, WorkerTable
 from worksramp.routing.subset import choose_subset, num_nodes_per_worker
 
-# One lost report must not end a lease: two periods and a timeout fit into it.
+# A single lost report must not end a lease, so a lease is longer than two periods and a timeout.
 REPORT_PERIOD_SECONDS = 2.0
 REPORT_TIMEOUT_SECONDS = 0.8
 
@@ -25,26 +25,27 @@
     Args:
         node_id: this node, among those that share the workers.
         zone: this node's zone.
-        ask_report: asks one address for its load report.
-        subset_size: workers that a node uses on average.
-        rng: source of the two random choices.
+        fetch_report: requests the load report of the worker at an address.
+        subset_size: average number of workers that a node uses.
+        rng: source of random choices.
     """
 
     def __init__(
-        self, node_id: str, zone: str, ask_report: ReportFunction, subset_size: int, rng: random.Random
+        self, node_id: str, zone: str, fetch_report: ReportFunction, subset_size: int, rng: random.Random
     ) -> None:
         self.table = WorkerTable(node_id)
         self.zone = zone
         self._node_id = node_id
-        self._ask_report = ask_report
+        self._fetch_report = fetch_report
         self._subset_size = subset_size
         self._rng = rng
 
     def set_machines(self, machines: tuple[Machine, ...], node_ids: frozenset[str] = frozenset()) -> None:
-        """Take the machine list's view of the group, reduced to the workers given to this node.
+        """Replace the workers by those of the machine list that are assigned to this node.
 
         Args:
-            node_ids: live nodes that share the group, whether or not this one stands among them.
+            machines: all workers of the group.
+            node_ids: live nodes that share the group; this node may be missing from them.
         """
         num_nodes = len(node_ids | {self._node_id})
         num_per_worker = num_nodes_per_worker(num_nodes, len(machines), self._subset_size)
@@ -52,16 +53,16 @@
         self.table.num_sharers = num_per_worker
 
     def choose(self, request: RouteRequest) -> Worker | None:
-        """Return a worker that may be given this request now, if there is one."""
+        """Return a worker that may get this request now, or None if there is none."""
         return choose_worker(self.table.usable(anyio.current_time()), request, self._rng)
 
     def max_reported_version(self) -> int:
-        """Return the newest weight version that a worker reports."""
+        """Return the newest weight version that any worker reports, 0 if there are no reports."""
         return max(self.table.reported_versions().values(), default=0)
 
     @contextmanager
     def using(self, worker: Worker, is_rollout: bool = False) -> Iterator[None]:
-        """Count a request on the worker, and learn from its failure."""
+        """Count a request at the worker, and update the worker's lease if the request fails."""
         machine_id = worker.machine.machine_id
         self.table.begin(machine_id, is_rollout)
         try:
@@ -79,7 +80,7 @@
             self.table.end(machine_id, is_rollout)
 
     async def run(self) -> None:
-        """Ask for reports for ever, each worker once a period."""
+        """Request a report from each worker once per period, until cancelled."""
         while True:
             async with anyio.create_task_group() as group:
                 for machine in self.table.machines():
@@ -90,8 +91,8 @@
         asked_at = anyio.current_time()
         try:
             with anyio.fail_after(REPORT_TIMEOUT_SECONDS):
-                report = await self._ask_report(machine.address)
+                report = await self._fetch_report(machine.address)
         except (StepError, TimeoutError):
-            # No report, no lease: the old one runs out by itself.
+            # Without a new report the lease is not renewed and expires by itself.
             return
         self.table.record_report(machine.machine_id, report, asked_at)
