--- a/src/worksramp/routing/subset.py
+++ b/src/worksramp/routing/subset.py
@@ -1,8 +1,8 @@
-"""Which workers one node asks for load reports and gives work: a part of them, and every worker has a node.
+"""Assigns to each node the subset of workers that it requests load reports from and sends work to.
 
-With 330 nodes and 1,500 workers, every node asking every worker would be half a million reports a period. So
-each worker is given to a few nodes by rendezvous hashing over the live nodes. Choosing the other way round,
-each node picking some workers, would leave one worker in six to nobody at that size.
+With 330 nodes and 1,500 workers, requesting a report from every worker at every node would be half a million
+reports per period. So each worker is assigned to a few nodes by rendezvous hashing over the live nodes. If
+instead each node picked some workers, one worker in six would be assigned to no node at that size.
 """
 
 import math
@@ -18,7 +18,7 @@
 
 
 def num_nodes_per_worker(num_nodes: int, num_workers: int, subset_size: int) -> int:
-    """Return how many nodes each worker is given to, so that a node has ``subset_size`` on average."""
+    """Return how many nodes each worker is assigned to, so that a node gets ``subset_size`` on average."""
     if num_workers == 0:
         return 1
     wanted = math.ceil(subset_size * num_nodes / num_workers)
@@ -28,12 +28,13 @@
 def choose_subset(
     node_id: str, node_ids: frozenset[str], machines: tuple[Machine, ...], num_per_worker: int
 ) -> tuple[Machine, ...]:
-    """Return the workers that are given to this node.
+    """Return the workers that are assigned to this node.
 
     Args:
-        node_id: this node; it counts as live whether or not it stands in ``node_ids``.
+        node_id: this node; it counts as live even if ``node_ids`` does not contain it.
         node_ids: live nodes.
-        num_per_worker: nodes that each worker is given to.
+        machines: all workers of the group.
+        num_per_worker: number of nodes that each worker is assigned to.
     """
     others = [_hash(other) for other in node_ids if other != node_id]
     own = _hash(node_id)
@@ -51,7 +52,7 @@
 
 
 def _mix(node: int, worker: int) -> int:
-    """Return a score; both parts are hashes already, so one multiplication mixes them well enough."""
+    """Return a score of two hashes; because both are hashes, one multiplication mixes them well enough."""
     product = (node ^ worker) * MIX_MULTIPLIER & HASH_MASK
     return product ^ product >> 32
 
--- a/tests/unit/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -1,4 +1,4 @@
-"""Every worker has a node, and nodes have about as many workers each."""
+"""Every worker is assigned to a node, and nodes get about the same number of workers."""
 
 from worksramp.backends.base import Machine, MachineRole
 from worksramp.routing.subset import choose_subset, num_nodes_per_worker
@@ -10,7 +10,7 @@
     return tuple(Machine(f"worker-{n}", MachineRole.ENGINE, f"a{n}", "z", "g") for n in range(count))
 
 
-def test_at_the_target_every_worker_has_as_many_nodes_as_meant() -> None:
+def test_at_the_target_size_every_worker_has_the_intended_number_of_nodes() -> None:
     nodes = frozenset(f"node-{n}" for n in range(NUM_NODES))
     per_worker = num_nodes_per_worker(NUM_NODES, NUM_WORKERS, SUBSET_SIZE)
     counts: dict[str, int] = {}
@@ -31,7 +31,7 @@
     assert all(len(choose_subset(node, nodes, workers(5), per_worker)) == 5 for node in nodes)
 
 
-def test_a_node_that_goes_moves_only_its_own_workers() -> None:
+def test_removing_a_node_reassigns_only_its_own_workers() -> None:
     nodes = frozenset(f"node-{n}" for n in range(40))
     fleet = workers(200)
     before = {machine.machine_id for machine in choose_subset("node-0", nodes, fleet, 2)}
