--- a/src/worksramp/routing/generation.py
+++ b/src/worksramp/routing/generation.py
@@ -1,4 +1,4 @@
-"""Resumable generation: one whole stream out of engines that may break, leave or swap weights."""
+"""Resumable generation: one complete stream from engines that may fail, drain or load new weights."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -17,19 +17,26 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationPolicy:
-    """How one class of traffic is routed."""
+    """Routing parameters of one class of traffic.
+
+    Attributes:
+        reserved_share: share of each worker's slots that this traffic must not use; 0 for live traffic.
+        min_weight_version: workers that report an older weight version are not used.
+        prefers_newest: whether newer weights take precedence over less load.
+        max_attempts: maximum number of attempts per request.
+    """
 
     reserved_share: float = 0.0
     min_weight_version: int = 0
     prefers_newest: bool = False
-    max_tries: int = 4
+    max_attempts: int = 4
 
 
 class StreamAssembler:
-    """Checks that chunks of one request join to one whole completion.
+    """Joins the chunks of one request to one complete stream.
 
-    A repeated chunk is trimmed, a gap or a foreign chunk is an error: the stream is then resumed from
-    the last token that is certain.
+    Repeated tokens are removed. A gap or a chunk of another request is an error; the stream is then resumed
+    after the last token that was accepted.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -37,7 +44,7 @@
         self._request_id = request_id
 
     def take(self, chunk: GenerationChunk, peer: str) -> GenerationChunk | None:
-        """Return the new part of a chunk, None if there is nothing new in it.
+        """Add a chunk and return its new part, or None if it contains nothing new.
 
         Raises:
             InterruptedStepError: the chunk belongs to another request, or tokens are missing before it.
@@ -47,11 +54,11 @@
         num_known = len(self.tokens)
         if chunk.start > num_known:
             raise InterruptedStepError(STEP, peer, f"tokens {num_known} to {chunk.start} are missing")
-        fresh = chunk.tokens[num_known - chunk.start :]
-        if not fresh and not chunk.is_final:
+        new_tokens = chunk.tokens[num_known - chunk.start :]
+        if not new_tokens and not chunk.is_final:
             return None
-        self.tokens.extend(fresh)
-        return msgspec.structs.replace(chunk, start=num_known, tokens=fresh)
+        self.tokens.extend(new_tokens)
+        return msgspec.structs.replace(chunk, start=num_known, tokens=new_tokens)
 
 
 async def generate_resumable(
@@ -61,11 +68,11 @@
     policy: GenerationPolicy,
     budget: RetryBudget,
 ) -> AsyncGenerator[GenerationChunk, None]:
-    """Stream a whole completion, moving to another engine when one breaks.
+    """Stream a complete completion, and resume it at another engine when one fails.
 
     Raises:
         NotStartedError: no engine began; nothing was yielded.
-        InterruptedStepError: tries or the retry budget ran out in mid-stream.
+        InterruptedStepError: an engine may have begun, and no attempt, retry budget or worker is left.
     """
     assembler = StreamAssembler(request.request_id)
     excluded: frozenset[str] = frozenset()
@@ -74,8 +81,8 @@
     )
     has_begun = False
     budget.note_request()
-    for num_tries in range(policy.max_tries):
-        if num_tries > 0 and not budget.try_spend():
+    for num_attempts in range(policy.max_attempts):
+        if num_attempts > 0 and not budget.try_spend():
             break
         route = RouteRequest(
             prefix=request.prompt[:PREFIX_CHARACTERS],
@@ -94,9 +101,9 @@
             with pool.using(worker, is_rollout=policy.reserved_share > 0.0):
                 async with aclosing(engines.generate(address, attempt)) as chunks:
                     async for chunk in chunks:
-                        fresh = assembler.take(chunk, address)
-                        if fresh is not None:
-                            yield fresh
+                        new_chunk = assembler.take(chunk, address)
+                        if new_chunk is not None:
+                            yield new_chunk
                         if chunk.is_final:
                             return
                 raise InterruptedStepError(STEP, address, "the stream ended early")
--- a/tests/unit/test_not_run.py
+++ b/tests/unit/test_not_run.py
@@ -1,4 +1,4 @@
-"""``not_run`` is said only when no back end can have begun."""
+"""``not_run`` is reported only if no back end can have begun."""
 
 import random
 from collections.abc import AsyncGenerator
@@ -28,7 +28,7 @@
 
 
 class BreakThenRefuse(EngineClient, ApplicationClient):
-    """The first worker asked breaks without an answer, every later one refuses."""
+    """The first call fails without an answer; every later call is refused."""
 
     def __init__(self) -> None:
         self.num_calls = 0
@@ -66,7 +66,7 @@
         pool.table.record_report(machine.machine_id, report, anyio.current_time())
 
 
-def test_a_completion_that_may_have_begun_is_not_called_not_run() -> None:
+def test_a_completion_that_may_have_begun_is_not_reported_as_not_run() -> None:
     async def main() -> None:
         client = BreakThenRefuse()
         pool = pool_of(client, MachineRole.ENGINE)
@@ -80,7 +80,7 @@
     anyio.run(main)
 
 
-def test_a_call_that_may_have_begun_is_not_called_not_run() -> None:
+def test_a_call_that_may_have_begun_is_not_reported_as_not_run() -> None:
     async def main() -> None:
         client = BreakThenRefuse()
         pool = pool_of(client, MachineRole.APPLICATION)
@@ -95,7 +95,7 @@
     anyio.run(main)
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_carries_a_retry_after_time() -> None:
     async def main() -> None:
         client = BreakThenRefuse()
         pool = pool_of(client, MachineRole.ENGINE)
