--- a/src/worksramp/backends/__init__.py
+++ b/src/worksramp/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Seams to the outside systems, one abstract class each."""
+"""Interfaces to outside systems: one abstract class each, with an implementation over HTTP."""
--- a/src/worksramp/routing/__init__.py
+++ b/src/worksramp/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a worker, load limits and retries."""
+"""Worker choice, admission limits, retries and crash quarantine for requests to workers."""
