--- a/src/worksramp/backends/http.py
+++ b/src/worksramp/backends/http.py
@@ -1,7 +1,8 @@
 """HTTP clients of the outside systems, built on httpx.
 
-A failed connection attempt is `NotStartedError`: no byte of the request left. So is a refusal that the
-other side marks with the code ``not_started``. Every other failure is `InterruptedStepError`.
+A failed connection attempt raises `NotStartedError`, because no byte of the request was sent. So does a
+refusal that the other side marks with the code ``not_started``. Every other failure raises
+`InterruptedStepError`.
 """
 
 from collections.abc import AsyncGenerator, Iterator
@@ -33,18 +34,19 @@
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 REPLY_TIMEOUT_SECONDS = 5.0
-STREAM_SILENCE_SECONDS = 20.0
+STREAM_IDLE_TIMEOUT_SECONDS = 20.0
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 NOT_STARTED_CODE = "not_started"
 SSE_DONE = "[DONE]"
-HEADER_EXTRA = 4
+#: Bytes that separate a header's name from its value and end its line.
+HEADER_SEPARATOR_BYTES = 4
 
 PLATFORM_BYTES = Counter("worksramp_platform_bytes_total", "Bytes to and from outside systems", ["step"])
 PLATFORM_REQUESTS = Counter("worksramp_platform_requests_total", "Requests to outside systems", ["step"])
 
 
 class RefusalBody(msgspec.Struct):
-    """Error body with which a back end refuses a request before it began."""
+    """Error body of a back end that refuses a request before running it."""
 
     code: str
     reason: str = ""
@@ -70,8 +72,8 @@
 
 
 @contextmanager
-def _step(step: str, peer: str) -> Iterator[None]:
-    """Translate httpx and decoding errors into step errors."""
+def _step_errors(step: str, peer: str) -> Iterator[None]:
+    """Convert httpx and decoding errors to step errors."""
     try:
         yield
     except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
@@ -83,7 +85,7 @@
 
 
 def _raise_for_refusal(step: str, peer: str, status: int, body: bytes, retry_after: str | None) -> None:
-    """Raise the step error that an error status stands for."""
+    """Raise the step error for an error status; do nothing for other statuses."""
     if status < httpx.codes.BAD_REQUEST:
         return
     try:
@@ -97,19 +99,19 @@
 
 
 def _count_bytes(step: str, response: httpx.Response) -> None:
-    """Count what one exchange cost on the wire, heads included."""
+    """Count the bytes of one request and its reply, including headers."""
     request = response.request
     sent = len(request.content) + sum(
-        len(key) + len(value) + HEADER_EXTRA for key, value in request.headers.raw
+        len(key) + len(value) + HEADER_SEPARATOR_BYTES for key, value in request.headers.raw
     )
     received = len(response.content)
-    received += sum(len(key) + len(value) + HEADER_EXTRA for key, value in response.headers.raw)
+    received += sum(len(key) + len(value) + HEADER_SEPARATOR_BYTES for key, value in response.headers.raw)
     PLATFORM_BYTES.labels(step).inc(sent + received)
     PLATFORM_REQUESTS.labels(step).inc()
 
 
 class _HttpPeer:
-    """Shared request helper of the clients below."""
+    """Base class of the HTTP clients, which sends requests and checks replies."""
 
     def __init__(self, client: httpx.AsyncClient) -> None:
         self._client = client
@@ -142,7 +144,7 @@
     ) -> httpx.Response:
         timeout = httpx.Timeout(timeout_seconds, connect=CONNECT_TIMEOUT_SECONDS)
         url = f"http://{address}{path}"
-        with _step(step, address):
+        with _step_errors(step, address):
             response = await self._client.request(
                 method, url, content=content, params=params, headers=headers, timeout=timeout
             )
@@ -165,7 +167,7 @@
         """See `LogClient.append`."""
         path = f"/v1/streams/{stream}/records"
         body = await self._request("log.append", "POST", self._address, path, record)
-        with _step("log.append", self._address):
+        with _step_errors("log.append", self._address):
             return msgspec.json.decode(body, type=AppendReply).offset
 
     async def read(self, stream: str, start: int, max_records: int, wait_seconds: float) -> LogPage:
@@ -174,20 +176,20 @@
         path = f"/v1/streams/{stream}/records"
         timeout = wait_seconds + REPLY_TIMEOUT_SECONDS
         body = await self._request("log.read", "GET", self._address, path, None, params, timeout)
-        with _step("log.read", self._address):
+        with _step_errors("log.read", self._address):
             return msgspec.json.decode(body, type=LogPage)
 
 
 class HttpEngineClient(_HttpPeer, EngineClient):
-    """Engine over HTTP and server-sent events, in the shape of the OpenAI completions API."""
+    """Engine over HTTP and server-sent events, modelled on the OpenAI completions API."""
 
     async def generate(self, address: str, request: GenerateRequest) -> AsyncGenerator[GenerationChunk, None]:
         """See `EngineClient.generate`."""
         step = "engine.generate"
-        timeout = httpx.Timeout(STREAM_SILENCE_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
+        timeout = httpx.Timeout(STREAM_IDLE_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
         content = msgspec.json.encode(request)
         url = f"http://{address}/v1/completions"
-        with _step(step, address):
+        with _step_errors(step, address):
             async with aconnect_sse(self._client, "POST", url, content=content, timeout=timeout) as source:
                 response = source.response
                 if response.status_code >= httpx.codes.BAD_REQUEST:
@@ -202,14 +204,14 @@
     async def report(self, address: str) -> WorkerReport:
         """See `EngineClient.report`."""
         body = await self._request("engine.report", "GET", address, "/v1/load")
-        with _step("engine.report", address):
+        with _step_errors("engine.report", address):
             return msgspec.json.decode(body, type=WorkerReport)
 
     async def order_load(self, address: str, order: LoadOrder) -> WorkerReport:
         """See `EngineClient.order_load`."""
         content = msgspec.json.encode(order)
         body = await self._request("engine.order_load", "POST", address, "/v1/weights", content)
-        with _step("engine.order_load", address):
+        with _step_errors("engine.order_load", address):
             return msgspec.json.decode(body, type=WorkerReport)
 
 
@@ -217,12 +219,12 @@
     """Application worker over HTTP."""
 
     async def call(self, address: str, request: ApplicationRequest) -> ApplicationReply:
-        """See `ApplicationClient.call`. An unmarked error status is the worker's own answer."""
+        """See `ApplicationClient.call`. Any error status except 503 is the worker's own reply."""
         step = "application.call"
-        timeout = httpx.Timeout(STREAM_SILENCE_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
+        timeout = httpx.Timeout(STREAM_IDLE_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
         url = f"http://{address}{request.path}"
         headers = {"x-request-id": request.request_id}
-        with _step(step, address):
+        with _step_errors(step, address):
             response = await self._client.request(
                 request.method, url, content=request.body, headers=headers, timeout=timeout
             )
@@ -234,7 +236,7 @@
     async def report(self, address: str) -> WorkerReport:
         """See `ApplicationClient.report`."""
         body = await self._request("application.report", "GET", address, "/v1/load")
-        with _step("application.report", address):
+        with _step_errors("application.report", address):
             return msgspec.json.decode(body, type=WorkerReport)
 
 
@@ -248,7 +250,7 @@
     async def newest_version(self, model: str) -> int:
         """See `WeightStoreClient.newest_version`."""
         body = await self._request("weights.newest", "GET", self._address, f"/v1/models/{model}/newest")
-        with _step("weights.newest", self._address):
+        with _step_errors("weights.newest", self._address):
             return msgspec.json.decode(body, type=VersionReply).weight_version
 
 
@@ -259,7 +261,7 @@
         """See `ScorerClient.score`."""
         content = msgspec.json.encode({"prompt": prompt, "completion": completion})
         body = await self._request("scorer.score", "POST", address, "/v1/score", content)
-        with _step("scorer.score", address):
+        with _step_errors("scorer.score", address):
             return msgspec.json.decode(body, type=ScoreReply).reward
 
 
@@ -273,13 +275,13 @@
         self._machines: tuple[Machine, ...] = ()
 
     async def machines(self) -> tuple[Machine, ...]:
-        """See `MachineListClient.machines`. An unchanged list is not sent again."""
+        """See `MachineListClient.machines`. An unchanged list is not transferred again."""
         step = "machines.list"
         headers = {"if-none-match": self._etag} if self._etag else None
         response = await self._exchange(step, "GET", self._address, "/v1/machines", headers=headers)
         if response.status_code == httpx.codes.NOT_MODIFIED:
             return self._machines
-        with _step(step, self._address):
+        with _step_errors(step, self._address):
             self._machines = msgspec.json.decode(response.content, type=tuple[Machine, ...])
         self._etag = response.headers.get("etag", "")
         return self._machines
@@ -288,7 +290,7 @@
 def http_platform(
     client: httpx.AsyncClient, log_address: str, weight_store_address: str, machine_list_address: str
 ) -> Platform:
-    """Return the clients of all outside systems over one HTTP client."""
+    """Return clients of all outside systems that share one HTTP client."""
     return Platform(
         log=HttpLogClient(client, log_address),
         engines=HttpEngineClient(client),
