--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -8,7 +8,7 @@
 
 from worksramp.edge.ports import RecordFault, UnreadableRecord, WorkerEvent, WorkerGone, WorkerSeen
 from worksramp.routing.quarantine import Quarantine
-from worksramp.routing.workers import START_NOT_TOLD, WorkerDirectory, WorkerEntry
+from worksramp.routing.workers import START_UNKNOWN, WorkerDirectory, WorkerEntry
 
 DROP_TICK_SECONDS = 0.1
 #: An entry that is removed this soon after an outage of the store is taken to have expired because of it.
@@ -64,7 +64,7 @@
                 self.on_change()
 
     def _apply_seen(self, entry: WorkerEntry) -> None:
-        if entry.started_ms != START_NOT_TOLD:
+        if entry.started_ms != START_UNKNOWN:
             self._require_starts()
         elif self._are_starts_reported:
             self._refuse(
@@ -91,7 +91,7 @@
                 is_restart=is_restart,
             )
         if is_restart:
-            self.quarantine.note_gone(entry.worker_id)
+            self.quarantine.handle_worker_gone(entry.worker_id)
         self.directory.put(entry)
 
     def _require_starts(self) -> None:
@@ -104,7 +104,7 @@
             return
         self._are_starts_reported = True
         for state in self.directory.all_states():
-            if state.entry.started_ms == START_NOT_TOLD:
+            if state.entry.started_ms == START_UNKNOWN:
                 reason = "no start time, unlike other entries"
                 self._refuse(UnreadableRecord(state.entry.worker_id, reason, RecordFault.BAD_VALUE))
 
@@ -121,7 +121,7 @@
             self.directory.mark_missing(worker_id, anyio.current_time())
         else:
             self.directory.remove(worker_id)
-            self.quarantine.note_gone(worker_id)
+            self.quarantine.handle_worker_gone(worker_id)
 
     def _refuse(self, event: UnreadableRecord) -> None:
         """Remove the worker from the directory until its entry can be used again; its runs continue."""
--- a/src/worksramp/rollout/scoring_call.py
+++ b/src/worksramp/rollout/scoring_call.py
@@ -5,7 +5,7 @@
 from worksramp.rollout.batches import Score, ScoringCall
 from worksramp.routing.fingerprint import fingerprint_of
 from worksramp.routing.worker_port import (
-    ToldLoad,
+    ReportedLoad,
     WorkerAnswer,
     WorkerAnswerBrokenError,
     WorkerPort,
@@ -76,7 +76,7 @@
     """
 
     outcome: ScoringOutcome
-    load: ToldLoad | None = None
+    load: ReportedLoad | None = None
 
 
 async def call_scorer(
--- a/src/worksramp/routing/forward.py
+++ b/src/worksramp/routing/forward.py
@@ -1,6 +1,6 @@
-"""Forwards one live request: attempts, backup attempts, deadlines.
+"""Forwards live requests to workers: attempts, backup attempts and deadlines.
 
-What may have run and may not be repeated is never sent again, and never called *not run*.
+A request that may have run and must not be repeated is never sent again, and never reported as *not run*.
 """
 
 import random
@@ -12,7 +12,13 @@
 import structlog
 
 from worksramp.mechanisms import mechanism
-from worksramp.routing.attempts import Course, LiveRequest, WholeAnswer, WorkerChoice, to_worker
+from worksramp.routing.attempts import (
+    AttemptHistory,
+    LiveRequest,
+    WholeAnswer,
+    WorkerChoice,
+    to_worker_request,
+)
 from worksramp.routing.hedge import first_result
 from worksramp.routing.live_stream import LiveStream, StreamAnswer
 from worksramp.routing.quarantine import Quarantine
@@ -33,7 +39,7 @@
     """The request has not run and will not.
 
     Attributes:
-        retry_after_seconds: when to come back.
+        retry_after_seconds: how long the caller should wait before a retry.
     """
 
     reason: str
@@ -45,7 +51,7 @@
     """The request may have run.
 
     Attributes:
-        is_late: time ran out; otherwise the answer was lost.
+        is_late: whether the time ran out; otherwise the answer was lost.
     """
 
     reason: str
@@ -54,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quarantined:
-    """The request has crashed workers before; in this try it has not run and will not."""
+    """The request is quarantined; for this submission it has not run and will not."""
 
     reason: str = "crashes_workers"
 
@@ -65,7 +71,7 @@
 
 @mechanism("backup_attempts", without=lambda route: False)
 def _may_back_up(route: Route) -> bool:
-    """Ask a second worker while the first is late, where a request may be repeated."""
+    """Return whether a request may be sent to a second worker while the first is late."""
     return route.may_repeat
 
 
@@ -73,14 +79,16 @@
     """Forwards live requests of one node.
 
     Args:
-        quarantine: shared by the node's parts; None for one that knows only what is forwarded here.
+        rng: source of random choices.
+        on_outcome: called with the route, the outcome and the seconds of each request.
+        quarantine: quarantine of the node; None creates one that covers only the requests forwarded here.
     """
 
     def __init__(
         self,
         directory: WorkerDirectory,
         port: WorkerPort,
-        source: random.Random,
+        rng: random.Random,
         on_outcome: OutcomeObserver | None = None,
         node: str = "",
         quarantine: Quarantine | None = None,
@@ -88,16 +96,16 @@
         self._port = port
         self._quarantine = quarantine or Quarantine(port, directory, node)
         self._on_outcome = on_outcome
-        self._choice = WorkerChoice(directory, source, node)
+        self._choice = WorkerChoice(directory, rng, node)
 
     async def forward(self, request: LiveRequest, route: Route, stack: AsyncExitStack) -> ForwardOutcome:
         """Forward a request and return the final outcome.
 
         Args:
-            stack: holds what a stream keeps open; closed by the caller when the answer has been passed on.
+            stack: holds the connection of a stream; the caller closes it once the answer has been passed on.
         """
-        course = Course()
-        outcome = await self._forward(request, route, stack, course)
+        history = AttemptHistory()
+        outcome = await self._forward(request, route, stack, history)
         if self._on_outcome is not None:
             self._on_outcome(route, outcome, anyio.current_time() - request.received_at)
         logger.info(
@@ -108,111 +116,113 @@
             outcome=type(outcome).__name__,
             status=getattr(outcome, "status", 0),
             reason=getattr(outcome, "reason", ""),
-            workers=",".join(course.tried),
+            workers=",".join(history.tried),
             seconds=round(anyio.current_time() - request.received_at, 4),
         )
         return outcome
 
     async def _forward(
-        self, request: LiveRequest, route: Route, stack: AsyncExitStack, course: Course
+        self, request: LiveRequest, route: Route, stack: AsyncExitStack, history: AttemptHistory
     ) -> ForwardOutcome:
-        # The route bounds the workers of one try only: a caller that comes again would go on to further ones.
+        # The route limits the attempts of one submission only; a retry by the caller would reach more
+        # workers.
         if not self._quarantine.admit(request.request_id, request.fingerprint):
             return Quarantined()
         last_start = request.ends_at(route) - MIN_ATTEMPT_SECONDS
         service = self._choice.choose_service(route)
-        while course.has_attempt_left(route) and anyio.current_time() < last_start:
-            worker = self._choice.choose(service, course)
+        while history.has_attempt_left(route) and anyio.current_time() < last_start:
+            worker = self._choice.choose(service, history)
             if worker is None:
                 break
-            course.tried.append(worker.entry.worker_id)
+            history.tried.append(worker.entry.worker_id)
             outcome: ForwardOutcome | None
             if route.kind is RouteKind.STREAMING:
-                stream = LiveStream(self._port, self._choice, self._quarantine, request, route, course)
+                stream = LiveStream(self._port, self._choice, self._quarantine, request, route, history)
                 outcome = await stream.open(worker, stack)
             else:
-                outcome = await self._attempt_with_backup(request, route, service, worker, course)
+                outcome = await self._attempt_with_backup(request, route, service, worker, history)
             if outcome is not None:
                 return outcome
-            if course.may_have_run and not route.may_repeat:
+            if history.may_have_run and not route.may_repeat:
                 break
-            if self._quarantine.is_to_blame(request.fingerprint):
+            if self._quarantine.is_quarantined(request.fingerprint):
                 refusal = Quarantined()
-                return MayHaveRun(refusal.reason, is_late=False) if course.may_have_run else refusal
-        return self._give_up(course, route, is_late=anyio.current_time() >= last_start)
+                return MayHaveRun(refusal.reason, is_late=False) if history.may_have_run else refusal
+        return self._give_up(history, route, is_late=anyio.current_time() >= last_start)
 
-    def _give_up(self, course: Course, route: Route, is_late: bool) -> ForwardOutcome:
-        if course.failure is not None:
-            return course.failure
-        if course.may_have_run:
-            return MayHaveRun(course.last_reason, is_late)
-        return NotRun(course.last_reason, min(MAX_RETRY_AFTER_SECONDS, route.objective_seconds / 2))
+    def _give_up(self, history: AttemptHistory, route: Route, is_late: bool) -> ForwardOutcome:
+        if history.failure is not None:
+            return history.failure
+        if history.may_have_run:
+            return MayHaveRun(history.last_reason, is_late)
+        return NotRun(history.last_reason, min(MAX_RETRY_AFTER_SECONDS, route.objective_seconds / 2))
 
     async def _attempt_with_backup(
-        self, request: LiveRequest, route: Route, service: str, worker: WorkerState, course: Course
+        self, request: LiveRequest, route: Route, service: str, worker: WorkerState, history: AttemptHistory
     ) -> WholeAnswer | None:
         """Send to a worker, and to a second one when the first is late and the request may be repeated."""
         ends_at = request.ends_at(route)
-        # Under a suspect a second worker might crash too, before the end of the first is known.
+        # A backup attempt of a suspect might crash a second worker before the crash of the first is known.
         is_suspect = self._quarantine.is_suspect(request.fingerprint)
-        if is_suspect or not _may_back_up(route) or not course.has_attempt_left(route):
-            return await self._attempt(request, worker, ends_at, course)
+        if is_suspect or not _may_back_up(route) or not history.has_attempt_left(route):
+            return await self._attempt(request, worker, ends_at, history)
 
         async def attempt() -> WholeAnswer | None:
-            answer = await self._attempt(request, worker, ends_at, course)
-            return self._unless_failed(answer, course)
+            answer = await self._attempt(request, worker, ends_at, history)
+            return self._unless_failed(answer, history)
 
         async def backup() -> WholeAnswer | None:
-            other = self._choice.choose_sound(service, course)
+            other = self._choice.choose_healthy(service, history)
             if other is None:
                 return None
-            course.tried.append(other.entry.worker_id)
-            answer = await self._attempt(request, other, ends_at, course)
-            return self._unless_failed(answer, course)
+            history.tried.append(other.entry.worker_id)
+            answer = await self._attempt(request, other, ends_at, history)
+            return self._unless_failed(answer, history)
 
         return await first_result(attempt, backup, BACKUP_SHARE_OF_OBJECTIVE * route.objective_seconds)
 
     @staticmethod
-    def _unless_failed(answer: WholeAnswer | None, course: Course) -> WholeAnswer | None:
-        """Keep a worker's failure for the case that no other worker does better."""
+    def _unless_failed(answer: WholeAnswer | None, history: AttemptHistory) -> WholeAnswer | None:
+        """Return the answer unless it is a server error, which is kept in case no attempt succeeds."""
         if answer is None or answer.status < FIRST_SERVER_ERROR_STATUS:
             return answer
-        course.failure = answer
+        history.failure = answer
         return None
 
     async def _attempt(
-        self, request: LiveRequest, worker: WorkerState, ends_at: float, course: Course
+        self, request: LiveRequest, worker: WorkerState, ends_at: float, history: AttemptHistory
     ) -> WholeAnswer | None:
-        """Send to one worker and read the whole answer; None when another attempt is needed."""
+        """Send to one worker and return its complete answer, or None if another attempt is needed."""
         started = anyio.current_time()
         running = self._quarantine.running(request.fingerprint)
         worker.begin(running)
-        is_beaten = True
+        is_unfinished = True
         try:
             with anyio.move_on_after(max(0.0, ends_at - started)):
-                async with self._port.send(worker.entry, to_worker(request, ends_at)) as answer:
-                    if self._choice.take_refusal(answer, worker, course):
-                        is_beaten = False
+                async with self._port.send(worker.entry, to_worker_request(request, ends_at)) as answer:
+                    if self._choice.record_answer_head(answer, worker, history):
+                        is_unfinished = False
                         return None
                     body = b"".join([chunk async for chunk in answer.body])
-                    self._choice.note_good(worker, anyio.current_time() - started)
-                    self._quarantine.note_whole_answer(request.fingerprint)
-                    is_beaten = False
+                    self._choice.record_success(worker, anyio.current_time() - started)
+                    self._quarantine.record_complete_answer(request.fingerprint)
+                    is_unfinished = False
                     return WholeAnswer(answer.status, answer.headers, body)
-            course.may_have_run = True
-            course.last_reason = "deadline"
+            history.may_have_run = True
+            history.last_reason = "deadline"
         except WorkerUnreachableError as error:
-            is_beaten = False
-            course.num_refusing += int(error.is_refusal)
-            self._choice.note_failure(request, worker, course, f"unreachable: {error}")
+            is_unfinished = False
+            history.num_refused_connections += int(error.is_refusal)
+            self._choice.record_failure(request, worker, history, f"unreachable: {error}")
         except WorkerAnswerBrokenError as error:
-            is_beaten = False
-            course.may_have_run = True
-            self._choice.note_failure(request, worker, course, f"broken: {error}")
-            await self._quarantine.note_broken(worker)
+            is_unfinished = False
+            history.may_have_run = True
+            self._choice.record_failure(request, worker, history, f"broken: {error}")
+            await self._quarantine.handle_broken_connection(worker)
         finally:
-            if is_beaten:
-                # Cancelled, or out of time: without this a worker that hangs would look as fast as before.
-                self._choice.note_beaten(worker, anyio.current_time() - started)
+            if is_unfinished:
+                # The attempt was cancelled or ran out of time. Without this, a worker that hangs would keep
+                # its low latency.
+                self._choice.record_unfinished(worker, anyio.current_time() - started)
             worker.end(running)
         return None
