--- a/src/worksramp/rollout/item_runner.py
+++ b/src/worksramp/rollout/item_runner.py
@@ -155,7 +155,7 @@
     @_take.handler(RunFailed)
     def _take_failed(self, outcome: RunFailed, work: ItemWork, run: Run, now: float) -> None:
         work.text.num_failures += 1
-        work.failed_at.add(run.worker_id)
+        work.failed_workers.add(run.worker_id)
         work.num_checkpointed = -1
         work.avoid(run.worker_id, now + AVOID_AFTER_BREAK_SECONDS)
         work.wait_until = now + FAILURE_PAUSE_SECONDS
--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -129,7 +129,7 @@
             batch_age_s=self._context.time_of_day() - work.submitted_at,
             num_group_left=num_group_left,
             waiting_s=now - scoring.whole_at,
-            avoided=scoring.asked_now(),
+            avoided=scoring.called_workers(),
             last_resorts=scoring.last_resorts_now(now),
         )
 
@@ -261,7 +261,7 @@
         self._failures.observe(call.worker_id, is_failure=True, now=now)
         work.text.num_scoring_failures += 1
         work.num_checkpointed = -1
-        work.scoring.failed_at.add(call.worker_id)
+        work.scoring.failed_workers.add(call.worker_id)
         work.scoring.last_resorts[call.worker_id] = now + AVOID_AFTER_BREAK_S
         work.scoring.wait_until = now + FAILURE_PAUSE_S
         route = self._route(work)
--- a/src/worksramp/rollout/item_work.py
+++ b/src/worksramp/rollout/item_work.py
@@ -68,7 +68,7 @@
         calls: those under way.
         last_resorts: workers to be asked after all others, each until a time.
         wait_until: no call goes out before.
-        failed_at: workers that answered with an error of their own.
+        failed_workers: workers that answered with an error of their own.
         ends_at: what workers are told to keep to, one time for all calls until it has passed.
         num_calls: calls sent.
     """
@@ -77,7 +77,7 @@
     calls: list[ScorerCall] = field(default_factory=list)
     last_resorts: dict[str, float] = field(default_factory=dict)
     wait_until: float = float("-inf")
-    failed_at: set[str] = field(default_factory=set)
+    failed_workers: set[str] = field(default_factory=set)
     ends_at: float = float("-inf")
     num_calls: int = 0
 
@@ -85,7 +85,7 @@
         """Return the workers to be asked after all others."""
         return frozenset(worker_id for worker_id, until in self.last_resorts.items() if until > now)
 
-    def asked_now(self) -> frozenset[str]:
+    def called_workers(self) -> frozenset[str]:
         """Return the workers that have a call of the item."""
         return frozenset(call.worker_id for call in self.calls)
 
@@ -103,7 +103,7 @@
         avoided: workers it must not go to, each until a time.
         careful_until: it keeps from workers that fail a large share of their runs, until then.
         num_checkpointed: pieces of the text that are in the log.
-        failed_at: workers that ended a run with an error of their own.
+        failed_workers: workers that ended a run with an error of their own.
         num_runs: runs begun.
         clock: times in its stages.
         carried_until: its batch has ended and it runs on; no run begins after this. None in an open batch.
@@ -120,7 +120,7 @@
     avoided: dict[str, float] = field(default_factory=dict)
     wait_until: float = float("-inf")
     careful_until: float = float("-inf")
-    failed_at: set[str] = field(default_factory=set)
+    failed_workers: set[str] = field(default_factory=set)
     num_checkpointed: int = 0
     is_done: bool = False
     scoring: Scoring = field(default_factory=Scoring)
@@ -153,7 +153,7 @@
         """Return whether the call, rather than a scorer, is to blame for its failures."""
         num_failures = self.text.num_scoring_failures
         return num_failures >= max_attempts and (
-            len(self.scoring.failed_at) >= max_attempts or num_failures >= 2 * max_attempts
+            len(self.scoring.failed_workers) >= max_attempts or num_failures >= 2 * max_attempts
         )
 
     def log_fields(self, now: float) -> dict[str, str | int | float]:
@@ -180,7 +180,7 @@
         same ones only twice as many. Three times as many would be more than the users allow.
         """
         max_attempts = self.route.max_attempts
-        return len(self.failed_at) >= max_attempts or self.text.num_failures >= 2 * max_attempts
+        return len(self.failed_workers) >= max_attempts or self.text.num_failures >= 2 * max_attempts
 
     def avoid(self, worker_id: str, until: float) -> None:
         """Keep the item from a worker for a while."""
--- a/src/worksramp/rollout/run_watch.py
+++ b/src/worksramp/rollout/run_watch.py
@@ -4,8 +4,8 @@
 import structlog
 
 from worksramp.mechanisms import mechanism
-from worksramp.rollout.elsewhere import Elsewhere
 from worksramp.rollout.item_work import ItemWork, Run
+from worksramp.rollout.move_gain import Elsewhere
 from worksramp.rollout.open_items import OpenItems
 from worksramp.rollout.pace import PaceTracker
 from worksramp.routing.failure_tracker import FailureTracker
--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from worksramp.rollout.batch_schedule import Place, WaitingItem, assign, rank
-from worksramp.rollout.elsewhere import Elsewhere
+from worksramp.rollout.move_gain import Elsewhere
 from worksramp.rollout.pace import PaceTracker
 from worksramp.rollout.run_watch import (
     EXPECTED_TAIL_SHARE,
--- a/tests/unit/test_batch_decisions.py
+++ b/tests/unit/test_batch_decisions.py
@@ -205,12 +205,12 @@
     work = ItemWork(("b", 0), batch_item, "m", route, 0.0, 1, TextBuilder())
     for number in range(1, 6):
         work.text.num_failures = number
-        work.failed_at.add("grey")
+        work.failed_workers.add("grey")
         assert not work.has_failed_for_good()
     work.text.num_failures = 6
     assert work.has_failed_for_good()
     work.text.num_failures = 3
-    work.failed_at |= {"other", "third"}
+    work.failed_workers |= {"other", "third"}
     assert work.has_failed_for_good()
 
 
--- a/tests/unit/test_closing_runs.py
+++ b/tests/unit/test_closing_runs.py
@@ -13,7 +13,7 @@
 
 from worksramp.logs import configure_logs
 from worksramp.rollout.batch_schedule import Place, WaitingItem
-from worksramp.rollout.elsewhere import Elsewhere
+from worksramp.rollout.move_gain import Elsewhere
 from worksramp.routing.worker_port import WorkerAnswer, WorkerRequest
 from worksramp.routing.workers import WorkerEntry
 from worksramp_emulator.batch_fleet import FleetPort
