--- a/src/worksramp/rollout/move_gain.py
+++ b/src/worksramp/rollout/move_gain.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 
 from worksramp.mechanisms import mechanism
-from worksramp.rollout.batch_schedule import Place, WaitingItem, may_run, rank
+from worksramp.rollout.batch_schedule import WaitingItem, WorkerView, may_run, rank
 from worksramp.rollout.fast_slots import (
     FastSlots,
     SlotUse,
@@ -29,7 +29,7 @@
     """The workers of a fleet and what waits for them, at one moment."""
 
     def __init__(
-        self, places: list[Place], waiting: list[WaitingItem], longest_left: Mapping[str, float]
+        self, places: list[WorkerView], waiting: list[WaitingItem], longest_left: Mapping[str, float]
     ) -> None:
         """Take a view in.
 
@@ -74,7 +74,7 @@
     return True
 
 
-def _slots_for(item: WaitingItem, places: Iterable[Place]) -> FastSlots | None:
+def _slots_for(item: WaitingItem, places: Iterable[WorkerView]) -> FastSlots | None:
     """Return the slots of fast workers that an item may go to, None while no pace is known."""
     return fast_slots(
         [
@@ -85,6 +85,6 @@
                 place.seconds_per_event,
             )
             for place in places
-            if may_run(item, place) and not place.is_suspect
+            if may_run(item, place) and not place.is_failing
         ]
     )
--- a/src/worksramp/rollout/open_items.py
+++ b/src/worksramp/rollout/open_items.py
@@ -7,7 +7,7 @@
 import anyio
 
 from worksramp.mechanisms import mechanism
-from worksramp.rollout.batch_schedule import Place, WaitingItem
+from worksramp.rollout.batch_schedule import WaitingItem, WorkerView
 from worksramp.rollout.item_work import ItemKey, ItemWork
 from worksramp.rollout.owner_context import OwnerContext
 from worksramp.rollout.pace import PaceTracker
@@ -145,7 +145,7 @@
             )
         return items
 
-    def places(self, now: float) -> list[Place]:
+    def places(self, now: float) -> list[WorkerView]:
         """Return the workers that may be given work, as the scheduler sees them."""
         table = self._context.table.current
         if table is None:
@@ -180,12 +180,12 @@
         slow: frozenset[str],
         suspects: frozenset[str],
         now: float,
-    ) -> Place:
+    ) -> WorkerView:
         worker_id = state.entry.worker_id
         loading = self.loading.get(worker_id)
         pace = self._pace.believed(worker_id, now)
         is_slow = worker_id in slow
-        return Place(
+        return WorkerView(
             worker_id=worker_id,
             service=state.entry.service,
             num_slots=state.entry.num_slots,
@@ -195,7 +195,7 @@
             loading=frozenset() if loading is None else frozenset([loading]),
             seconds_per_event=None if pace is None else pace.seconds_per_event,
             is_slow=is_slow,
-            is_suspect=worker_id in suspects,
+            is_failing=worker_id in suspects,
             may_have_recovered=is_slow and pace is not None and pace.is_old,
             num_expected_events=load.num_events,
         )
--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from worksramp.rollout.batch_schedule import Place, WaitingItem, assign, rank
+from worksramp.rollout.batch_schedule import WaitingItem, WorkerView, assign, rank
 from worksramp.rollout.move_gain import Elsewhere
 from worksramp.rollout.pace import PaceTracker
 from worksramp.rollout.run_watch import (
@@ -131,7 +131,7 @@
             if item.num_made >= item.num_events:
                 item.worker, item.whole_at = "", now
 
-    def _places(self, now: float) -> list[Place]:
+    def _places(self, now: float) -> list[WorkerView]:
         slow = self.pace.believed_slow(now)
         running: defaultdict[str, list[WaitingItem]] = defaultdict(list)
         for item in self._running():
@@ -141,7 +141,7 @@
             views = running[worker.name]
             believed = self.pace.believed(worker.name, now)
             places.append(
-                Place(
+                WorkerView(
                     worker.name,
                     "s",
                     NUM_SLOTS,
--- a/tests/unit/test_batch_decisions.py
+++ b/tests/unit/test_batch_decisions.py
@@ -14,7 +14,7 @@
     may_order,
 )
 from worksramp.rollout.batch_run import TextBuilder
-from worksramp.rollout.batch_schedule import Place, WaitingItem, assign, pace_tier
+from worksramp.rollout.batch_schedule import WaitingItem, WorkerView, assign, pace_tier
 from worksramp.rollout.batches import BatchItem, Score
 from worksramp.rollout.item_work import ItemWork, longer_text
 from worksramp.rollout.pace import PaceTracker
@@ -35,15 +35,17 @@
     return WaitingItem(**(values | changes))  # type: ignore[arg-type]
 
 
-def place(name: str, num_slots: int = 2, num_running: int = 0, version: int = 1, **changes: object) -> Place:
+def place(
+    name: str, num_slots: int = 2, num_running: int = 0, version: int = 1, **changes: object
+) -> WorkerView:
     values = {
         "worker_id": name, "service": "s", "num_slots": num_slots, "num_running": num_running,
         "num_expected_tokens": 0, "versions": {"m": version},
     }  # fmt: skip
-    return Place(**(values | changes))  # type: ignore[arg-type]
+    return WorkerView(**(values | changes))  # type: ignore[arg-type]
 
 
-def given(waiting: list[WaitingItem], places: list[Place]) -> dict[int, str]:
+def given(waiting: list[WaitingItem], places: list[WorkerView]) -> dict[int, str]:
     return {assignment.key[1]: assignment.worker_id for assignment in assign(waiting, places)}
 
 
@@ -194,7 +196,7 @@
 
 
 def test_a_suspect_worker_gets_what_finds_no_other_place() -> None:
-    grey, slow = place("grey", is_suspect=True), place("slow", is_slow=True)
+    grey, slow = place("grey", is_failing=True), place("slow", is_slow=True)
     assert given([item(0), item(1)], [grey, slow]) == {0: "slow", 1: "slow"}
     assert given([item(0)], [grey, place("slow", is_slow=True, num_running=2)]) == {0: "grey"}
 
--- a/tests/unit/test_closing_runs.py
+++ b/tests/unit/test_closing_runs.py
@@ -12,7 +12,7 @@
 import pytest
 
 from worksramp.logs import configure_logs
-from worksramp.rollout.batch_schedule import Place, WaitingItem
+from worksramp.rollout.batch_schedule import WaitingItem, WorkerView
 from worksramp.rollout.move_gain import Elsewhere
 from worksramp.routing.worker_port import WorkerAnswer, WorkerRequest
 from worksramp.routing.workers import WorkerEntry
@@ -64,6 +64,6 @@
 
 
 def test_an_item_whose_batch_has_no_other_one_left_can_be_weighed() -> None:
-    place = Place("fast", "s", 6, 0, 0, {"m": 1}, seconds_per_event=0.04)
+    place = WorkerView("fast", "s", 6, 0, 0, {"m": 1}, seconds_per_event=0.04)
     elsewhere = Elsewhere([place], [], longest_left={})
     assert elsewhere.gain_s(WaitingItem(("b", 0), "s", "m", 0.0, 10, 1, 1), "slow", 0.2, 10.0) > 1.0
--- a/tests/unit/test_slow_workers_under_load.py
+++ b/tests/unit/test_slow_workers_under_load.py
@@ -14,7 +14,7 @@
 
 from tests.unit.schedule_replay import MAX_EVENTS, SOUND_PACE_S, Replay, Worker
 from worksramp.mechanisms import MECHANISMS
-from worksramp.rollout.batch_schedule import Place, WaitingItem, assign
+from worksramp.rollout.batch_schedule import WaitingItem, WorkerView, assign
 from worksramp.rollout.fast_slots import FastSlots, SlotUse, fast_slots, gain_of_waiting_s
 from worksramp.rollout.pace import FORGET_SECONDS, PaceTracker
 
@@ -118,8 +118,8 @@
     return WaitingItem(("b", idx), "s", "m", 0.0, events, 1, 1)
 
 
-def place(name: str, num_running: int, pace: float, events: float = 60.0, **changes: bool) -> Place:
-    return Place(
+def place(name: str, num_running: int, pace: float, events: float = 60.0, **changes: bool) -> WorkerView:
+    return WorkerView(
         name, "s", 6, num_running, 1, {"m": 1}, frozenset(), pace, num_expected_events=events, **changes
     )
 
