--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -131,7 +131,7 @@
         earlier = await self._reader.earlier_texts(item_ids[index] for index in indices)
         if batch.is_ended or self._is_stopping:
             return
-        self.items.note_step(batch.header.model, len(item_ids))
+        self.items.record_step_size(batch.header.model, len(item_ids))
         self._lister.open_batch(batch_id, batch.num_results)
         num_reused = 0
         for index, item in items.items():
--- a/src/worksramp/rollout/item_runner.py
+++ b/src/worksramp/rollout/item_runner.py
@@ -76,7 +76,7 @@
         for waiting in (self._items.waiting(), self._items.carried_waiting(now)):
             if not waiting:
                 continue
-            for assignment in assign(self._items.waiting_items(waiting, now), self._items.places(now)):
+            for assignment in assign(self._items.waiting_items(waiting, now), self._items.worker_views(now)):
                 self._start(group, assignment, now)
 
     def _start(self, group: anyio.abc.TaskGroup, assignment: Assignment, now: float) -> None:
--- a/src/worksramp/rollout/open_items.py
+++ b/src/worksramp/rollout/open_items.py
@@ -1,4 +1,4 @@
-"""Open items of an owner, and the views of them that decisions are made from."""
+"""Holds the open items of an owner and builds the snapshots that scheduling decisions are made from."""
 
 from collections import Counter, deque
 from collections.abc import Iterable
@@ -15,13 +15,13 @@
 from worksramp.routing.fleet_view import FleetView, ModelWork
 from worksramp.routing.workers import WorkerState
 
-#: Steps whose size says how large the next may be.
+#: The largest of this many latest steps is the estimate of the next step's size.
 NUM_REMEMBERED_STEPS = 3
 
 
 @dataclass(slots=True)
 class _Load:
-    """What the owner has at one worker."""
+    """Load of one worker by the runs of this owner."""
 
     num_runs: int = 0
     num_tokens: int = 0
@@ -29,10 +29,11 @@
 
 
 class OpenItems:
-    """All items of an owner's batches that are not listed yet.
+    """All items of an owner's batches that are not listed as results yet.
 
     Attributes:
-        loading: model whose weights are on their way, by worker.
+        works: open items by key.
+        loading: model whose weights are being loaded, by worker.
     """
 
     def __init__(self, context: OwnerContext, pace: PaceTracker, failures: FailureTracker) -> None:
@@ -52,7 +53,7 @@
         return [work for work in self.works.values() if work.needs_run and not work.is_carried]
 
     def carried_waiting(self, now: float) -> list[ItemWork]:
-        """Return the items of ended batches that no worker runs and that may still begin."""
+        """Return the items of ended batches that no worker runs and whose runs may still start."""
         return [
             work
             for work in self.works.values()
@@ -60,34 +61,34 @@
         ]
 
     def unscored(self) -> list[ItemWork]:
-        """Return the items whose texts are whole and wait for their scores."""
+        """Return the items whose texts are complete and that wait for their scores."""
         return [work for work in self.works.values() if work.needs_score]
 
     def num_left_by_group(self) -> Counter[tuple[str, str]]:
-        """Return how many items of each batch and group are not listed yet."""
+        """Return how many items of each batch and group are not listed as results yet."""
         return Counter((batch_id, self.group(work)) for (batch_id, _), work in self.works.items())
 
     def group(self, work: ItemWork) -> str:
-        """Return an item's group, empty text for none."""
+        """Return the group of an item, an empty string if it has none."""
         batch_id, idx = work.key
         return self._context.ledger.batches[batch_id].header.groups[idx]
 
     def host(self, work: ItemWork) -> str:
-        """Return the host that an item's batch was sent to."""
+        """Return the host that the batch of an item was submitted to."""
         return self._context.ledger.batches[work.key[0]].header.host
 
     def tokens_per_event(self, work: ItemWork) -> int:
-        """Return how many tokens one event of an item holds."""
+        """Return how many tokens one event of an item holds, 1 if its service is not configured."""
         table = self._context.table.current
         spec = None if table is None else table.services.get(work.route.parts[0].service)
         return spec.tokens_per_event if spec else 1
 
-    def note_step(self, model: str, num_items: int) -> None:
-        """Take in that a batch with so many items has come."""
+    def record_step_size(self, model: str, num_items: int) -> None:
+        """Record the number of items of a new batch."""
         self._step_sizes.setdefault(model, deque(maxlen=NUM_REMEMBERED_STEPS)).append(num_items)
 
     def view(self) -> FleetView:
-        """Return what the fleet is at now."""
+        """Return a snapshot of the open work and of the slow and failing workers."""
         now = anyio.current_time()
         works: dict[str, list[ItemWork]] = {model: [] for model in self._step_sizes}
         num_runs: dict[tuple[str, str], int] = {}
@@ -115,10 +116,10 @@
         )
 
     def waiting_items(self, works: Iterable[ItemWork], now: float) -> list[WaitingItem]:
-        """Return items as the scheduler sees them; those that must wait, or have no route, are left out."""
+        """Return items as scheduler input, without those that must still wait or have no route."""
         table = self._context.table.current
         items: list[WaitingItem] = []
-        suspects = self._failures.suspects(now)
+        failing = self._failures.suspects(now)
         for work in works:
             if work.wait_until > now or table is None:
                 continue
@@ -139,28 +140,28 @@
                     num_memory_tokens=work.item.num_tokens,
                     min_version=work.min_version,
                     only_version=only,
-                    avoided=_avoided(work, suspects, now),
+                    avoided=_avoided(work, failing, now),
                     tokens_per_event=tokens_per_event,
                 )
             )
         return items
 
-    def places(self, now: float) -> list[WorkerView]:
-        """Return the workers that may be given work, as the scheduler sees them."""
+    def worker_views(self, now: float) -> list[WorkerView]:
+        """Return the workers that may get runs now, as scheduler input."""
         table = self._context.table.current
         if table is None:
             return []
-        load = self._load()
-        slow, suspects = self._pace.believed_slow(now), self._failures.suspects(now)
+        load_by_worker = self._loads()
+        slow, failing = self._pace.believed_slow(now), self._failures.suspects(now)
         return [
-            self._place(state, load.get(state.entry.worker_id, _Load()), slow, suspects, now)
+            self._worker_view(state, load_by_worker.get(state.entry.worker_id, _Load()), slow, failing, now)
             for service in table.services
             for state in self._context.directory.usable(service)
             if state.avoid_until <= now
         ]
 
-    def _load(self) -> dict[str, _Load]:
-        """Return the load of each worker that runs items, in the owner's own count."""
+    def _loads(self) -> dict[str, _Load]:
+        """Return the load of each worker that runs items, as counted by this owner."""
         loads: dict[str, _Load] = {}
         for work in self.works.values():
             if work.run is None:
@@ -173,12 +174,12 @@
             load.num_events += num_tokens / tokens_per_event
         return loads
 
-    def _place(
+    def _worker_view(
         self,
         state: WorkerState,
         load: _Load,
         slow: frozenset[str],
-        suspects: frozenset[str],
+        failing: frozenset[str],
         now: float,
     ) -> WorkerView:
         worker_id = state.entry.worker_id
@@ -195,18 +196,18 @@
             loading=frozenset() if loading is None else frozenset([loading]),
             seconds_per_event=None if pace is None else pace.seconds_per_event,
             is_slow=is_slow,
-            is_failing=worker_id in suspects,
+            is_failing=worker_id in failing,
             may_have_recovered=is_slow and pace is not None and pace.is_old,
             num_expected_events=load.num_events,
         )
 
 
-@mechanism("careful_items", without=lambda work, suspects, now: work.avoided_now(now))
-def _avoided(work: ItemWork, suspects: frozenset[str], now: float) -> frozenset[str]:
+@mechanism("careful_items", without=lambda work, failing, now: work.avoided_now(now))
+def _avoided(work: ItemWork, failing: frozenset[str], now: float) -> frozenset[str]:
     """Keep an item that has failed often from workers that fail a large share of their runs.
 
-    Load pattern: most workers fail most of what they get, and the sound ones are full. An item that goes to
-    the failing ones again and again is given up, though nothing is wrong with it.
+    Load pattern: most workers fail most of their runs, and the healthy ones have no free slots. Without this
+    rule, an item that is assigned to failing workers repeatedly is given up although it is not the cause.
     """
     avoided = work.avoided_now(now)
-    return avoided | suspects if now < work.careful_until else avoided
+    return avoided | failing if now < work.careful_until else avoided
--- a/src/worksramp/rollout/run_watch.py
+++ b/src/worksramp/rollout/run_watch.py
@@ -80,7 +80,7 @@
             # Most looks end here; the view of what is elsewhere is dear.
             return
         elsewhere = Elsewhere(
-            self._items.places(now),
+            self._items.worker_views(now),
             self._items.waiting_items(self._items.waiting(), now),
             self._longest_left(),
         )
