--- a/src/worksramp/rollout/item_runner.py
+++ b/src/worksramp/rollout/item_runner.py
@@ -24,7 +24,7 @@
 from worksramp.rollout.item_work import (
     AVOID_AFTER_BREAK_SECONDS,
     AVOID_AFTER_REFUSAL_SECONDS,
-    CAREFUL_S,
+    AVOID_FAILING_S,
     ItemWork,
     Run,
 )
@@ -98,16 +98,16 @@
             CARRIED_URGENCY if work.is_carried else None,
         )
 
-        def note_event() -> None:
+        def record_event() -> None:
             now = anyio.current_time()
             if run.num_events and run.worker_id not in self._items.loading:
                 self._pace.observe(run.worker_id, now - run.last_event_at, now)
-            run.note_event(now)
+            run.record_event(now)
 
         num_before = len(work.text.pieces)
         if state is not None:
             with run.scope:
-                outcome = await self._run_at(state, spec, work, note_event)
+                outcome = await self._run_at(state, spec, work, record_event)
             if run.scope.cancelled_caught:
                 outcome = RunBroken("moved" if run.is_moving else "closed")
         work.run = None
@@ -118,14 +118,14 @@
         self._wake()
 
     async def _run_at(
-        self, state: WorkerState, spec: RunSpec, work: ItemWork, note_event: Callable[[], None]
+        self, state: WorkerState, spec: RunSpec, work: ItemWork, record_event: Callable[[], None]
     ) -> RunOutcome:
         """Run an item at a worker, and take in what it shows of crashes."""
         quarantine = self._context.quarantine
         running = quarantine.running(fingerprint_of_run(spec))
         state.begin_item(running)
         try:
-            outcome = await run_item(self._context.port, state.entry, spec, work.text, note_event)
+            outcome = await run_item(self._context.port, state.entry, spec, work.text, record_event)
             if isinstance(outcome, RunBroken) and outcome.is_connection_lost:
                 await quarantine.note_broken(state)
                 work.wait_until = anyio.current_time() + quarantine.pause_s(running.fingerprint)
@@ -161,7 +161,7 @@
         work.wait_until = now + FAILURE_PAUSE_SECONDS
         if work.text.num_failures >= work.route.max_attempts:
             # As many failures again, and it is given up: they had better not be those of a failing worker.
-            work.careful_until = now + CAREFUL_S
+            work.avoid_failing_until = now + AVOID_FAILING_S
         if work.has_failed_for_good():
             self._give_up(work, "failed")
 
--- a/src/worksramp/rollout/item_work.py
+++ b/src/worksramp/rollout/item_work.py
@@ -1,4 +1,4 @@
-"""Open items of an owner's batches: what waits, what runs, what is scored, and the text so far."""
+"""Defines the state of an open item: its text so far, its run, its scoring calls and its failures."""
 
 from dataclasses import dataclass, field
 
@@ -12,18 +12,19 @@
 ItemKey = tuple[str, int]
 AVOID_AFTER_BREAK_SECONDS = 0.6
 AVOID_AFTER_REFUSAL_SECONDS = 0.15
-#: An item must not be away from all workers for long, however often it has failed.
-CAREFUL_S = 2.0
+#: An item must not be kept from all workers for longer than this, however often it has failed.
+AVOID_FAILING_S = 2.0
 
 
 @dataclass(slots=True)
 class Run:
-    """A run under way.
+    """A run in progress.
 
     Attributes:
-        last_event_at: when its last event came, or when it was sent.
-        num_events: events it has made.
-        longest_gap: longest time between two of its events.
+        last_event_at: when its last event arrived, or when it was sent if there is none.
+        num_events: events received from it.
+        longest_gap: longest time in seconds between two of its events.
+        is_moving: it is being closed so that another worker can continue the item.
     """
 
     worker_id: str
@@ -35,8 +36,8 @@
     longest_gap: float = 0.0
     is_moving: bool = False
 
-    def note_event(self, now: float) -> None:
-        """Take in that an event has come."""
+    def record_event(self, now: float) -> None:
+        """Record that an event has arrived."""
         if self.first_event_at is None:
             self.first_event_at = now
         else:
@@ -47,10 +48,10 @@
 
 @dataclass(slots=True)
 class ScorerCall:
-    """A scoring call under way.
+    """A scoring call in progress.
 
     Attributes:
-        is_late: another worker has been asked meanwhile.
+        is_late: it takes longer than usual, so that a second worker may be called.
     """
 
     worker_id: str
@@ -61,16 +62,16 @@
 
 @dataclass(slots=True)
 class Scoring:
-    """What has become of an item's scoring so far.
+    """State of the scoring of one item.
 
     Attributes:
-        whole_at: when its text was whole, None before.
-        calls: those under way.
-        last_resorts: workers to be asked after all others, each until a time.
-        wait_until: no call goes out before.
+        whole_at: when its text was complete, None before.
+        calls: calls in progress.
+        last_resorts: workers to be called after all others, each until a time.
+        wait_until: no call is sent before this time.
         failed_workers: workers that answered with an error of their own.
-        ends_at: what workers are told to keep to, one time for all calls until it has passed.
-        num_calls: calls sent.
+        ends_at: deadline sent to workers; all calls share it until it has passed.
+        num_calls: calls sent so far.
     """
 
     whole_at: float | None = None
@@ -82,31 +83,34 @@
     num_calls: int = 0
 
     def last_resorts_now(self, now: float) -> frozenset[str]:
-        """Return the workers to be asked after all others."""
+        """Return the workers that are to be called after all others now."""
         return frozenset(worker_id for worker_id, until in self.last_resorts.items() if until > now)
 
     def called_workers(self) -> frozenset[str]:
-        """Return the workers that have a call of the item."""
+        """Return the workers that have a call in progress."""
         return frozenset(call.worker_id for call in self.calls)
 
     def cancel(self) -> None:
-        """Close all calls."""
+        """Cancel all calls in progress."""
         for call in self.calls:
             call.scope.cancel()
 
 
 @dataclass(slots=True)
 class ItemWork:
-    """One item that is not listed yet.
+    """One item that is not listed as a result yet, and all that its owner records of it.
 
     Attributes:
-        avoided: workers it must not go to, each until a time.
-        careful_until: it keeps from workers that fail a large share of their runs, until then.
-        num_checkpointed: pieces of the text that are in the log.
+        min_version: oldest weight version that may generate its text.
+        avoided: workers that it must not be assigned to, each until a time.
+        wait_until: it is not assigned to a worker before this time.
+        avoid_failing_until: until then, it is kept from workers that fail a large share of their runs.
         failed_workers: workers that ended a run with an error of their own.
-        num_runs: runs begun.
-        clock: times in its stages.
-        carried_until: its batch has ended and it runs on; no run begins after this. None in an open batch.
+        num_checkpointed: events in the latest checkpoint of the text, -1 to have a checkpoint written soon.
+        is_done: it needs no further run or call, since it is listed, given up or dropped.
+        num_runs: runs started so far.
+        clock: time spent in each stage.
+        carried_until: no run of a carried item starts after this time; None while its batch is open.
     """
 
     key: ItemKey
@@ -119,7 +123,7 @@
     run: Run | None = None
     avoided: dict[str, float] = field(default_factory=dict)
     wait_until: float = float("-inf")
-    careful_until: float = float("-inf")
+    avoid_failing_until: float = float("-inf")
     failed_workers: set[str] = field(default_factory=set)
     num_checkpointed: int = 0
     is_done: bool = False
@@ -130,34 +134,34 @@
 
     @property
     def is_carried(self) -> bool:
-        """Whether the item's batch has ended."""
+        """Whether the item runs on after the end of its batch."""
         return self.carried_until is not None
 
     @property
     def needs_run(self) -> bool:
-        """Whether the item waits for a place at a worker."""
+        """Whether the item waits for a slot at a worker."""
         return self.run is None and not self.is_done and not self.text.is_whole
 
     @property
     def needs_score(self) -> bool:
-        """Whether the text is whole and the item waits for its score alone."""
+        """Whether the text is complete and only the score is missing."""
         return self.text.is_whole and not self.is_done and not self.is_scored and not self.is_carried
 
     @property
     def is_scored(self) -> bool:
-        """Whether the text has the score that the item asks for, or asks for none."""
+        """Whether the text has the score that the item requires, or requires none."""
         call = self.item.scoring_call
         return call is None or (self.text.score is not None and self.text.score.call_id == call.call_id)
 
     def has_scoring_failed_for_good(self, max_attempts: int) -> bool:
-        """Return whether the call, rather than a scorer, is to blame for its failures."""
+        """Return whether the failures are attributed to the call and not to the scorers."""
         num_failures = self.text.num_scoring_failures
         return num_failures >= max_attempts and (
             len(self.scoring.failed_workers) >= max_attempts or num_failures >= 2 * max_attempts
         )
 
     def log_fields(self, now: float) -> dict[str, str | int | float]:
-        """Return what a log line tells of the item's way so far."""
+        """Return the fields that describe the item's progress in a log event."""
         return {
             "item_id": self.item.item_id,
             "batch_id": self.key[0],
@@ -168,36 +172,40 @@
         }
 
     def stop(self) -> None:
-        """Close the run and all scoring calls."""
+        """Cancel the run and all scoring calls."""
         if self.run is not None:
             self.run.scope.cancel()
         self.scoring.cancel()
 
     def has_failed_for_good(self) -> bool:
-        """Return whether the item, rather than a worker, is to blame for its failures.
+        """Return whether the failures are attributed to the item and not to the workers.
 
-        A worker may fail part of all that it is given, so that failures at different workers count; at the
-        same ones only twice as many. Three times as many would be more than the users allow.
+        A worker may fail a part of all runs, so ``max_attempts`` failures are enough only if each came from
+        a different worker. From the same workers, twice as many are needed; the users do not allow three
+        times as many.
         """
         max_attempts = self.route.max_attempts
         return len(self.failed_workers) >= max_attempts or self.text.num_failures >= 2 * max_attempts
 
     def avoid(self, worker_id: str, until: float) -> None:
-        """Keep the item from a worker for a while."""
+        """Keep the item from a worker until a time."""
         self.avoided[worker_id] = until
 
     def avoided_now(self, now: float) -> frozenset[str]:
-        """Return the workers it must not go to."""
+        """Return the workers that the item must not be assigned to now."""
         return frozenset(worker_id for worker_id, until in self.avoided.items() if until > now)
 
     def num_expected_tokens(self, tokens_per_event: int) -> int:
-        """Return how many tokens are still to be made, as estimated; longer than the estimate counts anew."""
+        """Return the estimate of the tokens still to be generated, at least those of one event."""
         estimate = self.item.num_expected_tokens or self.item.num_tokens // 2
         return max(estimate - len(self.text.pieces) * tokens_per_event, tokens_per_event)
 
 
 def text_to_start_from(kept: GeneratedText | None, batch: Batch, route: Route) -> TextBuilder:
-    """Return the kept text of an item if this batch may use it, else an empty one."""
+    """Return the kept text of an item if the batch may use it, else an empty one.
+
+    Failures that were counted in another batch are reset.
+    """
     if kept is None:
         return TextBuilder()
     text = TextBuilder.from_text(kept)
@@ -210,7 +218,7 @@
 
 
 def longer_text(one: TextBuilder, other: TextBuilder) -> TextBuilder:
-    """Return the text that has more; failures counted in the first stay counted."""
+    """Return the text with more events, with the failure counts of the first."""
     if len(other.pieces) <= len(one.pieces):
         return one
     other.num_failures, other.num_scoring_failures = one.num_failures, one.num_scoring_failures
--- a/src/worksramp/rollout/open_items.py
+++ b/src/worksramp/rollout/open_items.py
@@ -210,4 +210,4 @@
     rule, an item that is assigned to failing workers repeatedly is given up although it is not the cause.
     """
     avoided = work.avoided_now(now)
-    return avoided | failing if now < work.careful_until else avoided
+    return avoided | failing if now < work.avoid_failing_until else avoided
