--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -100,7 +100,7 @@
 
     def _forget_former_starts(self) -> None:
         for worker_id in self._starts.restarted():
-            self._pace.forget(worker_id)
+            self._pace.discard_worker(worker_id)
             self._failures.forget(worker_id)
             self._watch.close_runs_at(worker_id)
 
--- a/src/worksramp/rollout/open_items.py
+++ b/src/worksramp/rollout/open_items.py
@@ -152,7 +152,7 @@
         if table is None:
             return []
         load_by_worker = self._loads()
-        slow, failing = self._pace.believed_slow(now), self._failures.suspects(now)
+        slow, failing = self._pace.last_known_slow(now), self._failures.suspects(now)
         return [
             self._worker_view(state, load_by_worker.get(state.entry.worker_id, _Load()), slow, failing, now)
             for service in table.services
@@ -184,7 +184,7 @@
     ) -> WorkerView:
         worker_id = state.entry.worker_id
         loading = self.loading.get(worker_id)
-        pace = self._pace.believed(worker_id, now)
+        pace = self._pace.last_known(worker_id, now)
         is_slow = worker_id in slow
         return WorkerView(
             worker_id=worker_id,
--- a/src/worksramp/rollout/pace.py
+++ b/src/worksramp/rollout/pace.py
@@ -1,4 +1,4 @@
-"""How fast workers make events, and which are far slower than the rest."""
+"""Measures the seconds per event of each worker and finds workers that are far slower than the others."""
 
 import math
 import statistics
@@ -10,18 +10,20 @@
 SMOOTHING = 0.25
 MIN_SAMPLES = 4
 SLOW_FACTOR = 1.9
-#: A pace this old may no longer hold.
-FORGET_SECONDS = 3.0
-#: A pace this old says nothing any more.
-REMEMBER_S = 30.0
+#: A measurement older than this may no longer hold.
+MAX_AGE_SECONDS = 3.0
+#: A measurement older than this says nothing about the worker and is discarded.
+DISCARD_AFTER_S = 30.0
 
 
 @dataclass(slots=True)
 class _WorkerPace:
-    """Pace of one worker.
+    """Seconds per event of one worker.
 
     Attributes:
-        former_seconds: pace before a long silence, until the new one is known.
+        seconds: moving mean of the seconds per event.
+        sampled_at: when the latest sample was added.
+        former_seconds: mean before a long time without samples, kept until the new mean is known.
     """
 
     seconds: float
@@ -30,15 +32,15 @@
     former_seconds: float | None = None
 
     def is_old(self, now: float) -> bool:
-        return now - self.sampled_at > FORGET_SECONDS
+        return now - self.sampled_at > MAX_AGE_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
-class BelievedPace:
-    """A worker's pace.
+class LastKnownPace:
+    """Last known seconds per event of a worker.
 
     Attributes:
-        is_old: it was measured a while ago, and the worker may have recovered.
+        is_old: the measurement is old, so that the worker may have recovered.
     """
 
     seconds_per_event: float
@@ -46,29 +48,32 @@
 
 
 @mechanism("remembered_paces", without=lambda pace: None)
-def _remembered(pace: _WorkerPace) -> BelievedPace | None:
-    """Take a worker for as slow as it was until it is measured again."""
+def _last_measured(pace: _WorkerPace) -> LastKnownPace | None:
+    """Treat a worker as being as slow as when last measured until it is measured again."""
     seconds = pace.seconds if pace.num_samples >= MIN_SAMPLES else pace.former_seconds
-    return None if seconds is None else BelievedPace(seconds, is_old=True)
+    return None if seconds is None else LastKnownPace(seconds, is_old=True)
 
 
 class PaceTracker:
-    """Moving means of the time between two events of a run, by worker."""
+    """Moving means of the time between two events of a run, by worker.
+
+    Times are seconds of the owner's clock. Fewer than MIN_SAMPLES samples do not count as a measurement.
+    """
 
     def __init__(self) -> None:
         self._paces: dict[str, _WorkerPace] = {}
-        #: Pace of the fast workers, kept for one moment: it is asked for once a run.
+        #: Seconds per event of the fast workers, cached for one time value: it is needed once for each run.
         self._fast_s = math.inf
         self._fast_at = -math.inf
 
     def observe(self, worker_id: str, seconds: float, now: float) -> None:
-        """Take in the time between two events of one run."""
+        """Add the time between two events of one run as a sample."""
         pace = self._paces.get(worker_id)
         if pace is None:
             self._paces[worker_id] = _WorkerPace(seconds, 1, now)
             return
         if pace.is_old(now):
-            # What was slow may have recovered: what it did before does not weigh in what it does now.
+            # A slow worker may have recovered, so samples from before the gap do not enter the new mean.
             former = pace.seconds if pace.num_samples >= MIN_SAMPLES else pace.former_seconds
             self._paces[worker_id] = _WorkerPace(seconds, 1, now, former)
             return
@@ -76,40 +81,40 @@
         pace.num_samples += 1
         pace.sampled_at = now
 
-    def forget(self, worker_id: str) -> None:
-        """Take in that the worker has started again."""
+    def discard_worker(self, worker_id: str) -> None:
+        """Discard the measurement of a worker, for instance after its restart."""
         self._paces.pop(worker_id, None)
 
     def seconds_per_event(self, worker_id: str, now: float) -> float | None:
-        """Return a worker's pace, None when it is not known or too old."""
+        """Return the seconds per event of a worker, or None if not measured or measured too long ago."""
         pace = self._paces.get(worker_id)
         if pace is None or pace.num_samples < MIN_SAMPLES or pace.is_old(now):
             return None
         return pace.seconds
 
-    def believed(self, worker_id: str, now: float) -> BelievedPace | None:
-        """Return a worker's pace, also one of a while ago, None when nothing is known of it."""
+    def last_known(self, worker_id: str, now: float) -> LastKnownPace | None:
+        """Return the last known seconds per event of a worker, even if old, or None if there are none."""
         pace = self._paces.get(worker_id)
         if pace is None:
             return None
-        if now - pace.sampled_at > REMEMBER_S:
+        if now - pace.sampled_at > DISCARD_AFTER_S:
             del self._paces[worker_id]
             return None
         if pace.num_samples >= MIN_SAMPLES and not pace.is_old(now):
-            return BelievedPace(pace.seconds, is_old=False)
-        return _remembered(pace)
+            return LastKnownPace(pace.seconds, is_old=False)
+        return _last_measured(pace)
 
-    def believed_slow(self, now: float) -> frozenset[str]:
-        """Return the workers that are, or were when last measured, far slower than the typical one."""
-        found = {worker_id: self.believed(worker_id, now) for worker_id in list(self._paces)}
+    def last_known_slow(self, now: float) -> frozenset[str]:
+        """Return the workers that were far slower than the median worker when last measured."""
+        found = {worker_id: self.last_known(worker_id, now) for worker_id in list(self._paces)}
         paces = {worker_id: pace.seconds_per_event for worker_id, pace in found.items() if pace is not None}
         if not paces:
             return frozenset()
         bound = SLOW_FACTOR * statistics.median_low(paces.values())
         return frozenset(worker_id for worker_id, seconds in paces.items() if seconds > bound)
 
-    def is_below_fast(self, worker_id: str, now: float) -> bool:
-        """Return whether a worker is clearly slower than the fast ones."""
+    def is_slower_than_fast(self, worker_id: str, now: float) -> bool:
+        """Return whether a recently measured worker is clearly slower than the fast workers."""
         own = self.seconds_per_event(worker_id, now)
         if own is None:
             return False
@@ -120,13 +125,13 @@
         return own > FAST_PACE_RATIO * self._fast_s
 
     def typical_seconds(self, now: float) -> float | None:
-        """Return the median pace of all workers, None when none is known."""
+        """Return the median seconds per event of recently measured workers, or None if there are none."""
         known = [self.seconds_per_event(worker_id, now) for worker_id in list(self._paces)]
         paces = [pace for pace in known if pace is not None]
         return statistics.median_low(paces) if paces else None
 
     def slow_workers(self, now: float) -> frozenset[str]:
-        """Return the workers that are far slower than the typical one."""
+        """Return the recently measured workers that are far slower than the median."""
         typical = self.typical_seconds(now)
         if typical is None:
             return frozenset()
@@ -138,7 +143,7 @@
         )
 
     def is_slow(self, worker_id: str, now: float) -> bool:
-        """Return whether a worker is far slower than the typical one."""
+        """Return whether a recently measured worker is far slower than the median."""
         own = self.seconds_per_event(worker_id, now)
         typical = self.typical_seconds(now)
         return own is not None and typical is not None and own > SLOW_FACTOR * typical
--- a/src/worksramp/rollout/run_watch.py
+++ b/src/worksramp/rollout/run_watch.py
@@ -74,7 +74,7 @@
             for work, run in running
             if not work.is_carried
             and now - run.started_at >= MIN_SECONDS_BETWEEN_MOVES
-            and self._pace.is_below_fast(run.worker_id, now)
+            and self._pace.is_slower_than_fast(run.worker_id, now)
         ]
         if not slow:
             # Most looks end here; the view of what is elsewhere is dear.
--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -132,14 +132,14 @@
                 item.worker, item.whole_at = "", now
 
     def _places(self, now: float) -> list[WorkerView]:
-        slow = self.pace.believed_slow(now)
+        slow = self.pace.last_known_slow(now)
         running: defaultdict[str, list[WaitingItem]] = defaultdict(list)
         for item in self._running():
             running[item.worker].append(item.view(now))
         places = []
         for worker in self.workers:
             views = running[worker.name]
-            believed = self.pace.believed(worker.name, now)
+            last_known = self.pace.last_known(worker.name, now)
             places.append(
                 WorkerView(
                     worker.name,
@@ -148,9 +148,9 @@
                     len(views),
                     sum(view.num_expected_tokens for view in views),
                     {"m": 2 if now >= worker.loaded_at else 1},
-                    seconds_per_event=None if believed is None else believed.seconds_per_event,
+                    seconds_per_event=None if last_known is None else last_known.seconds_per_event,
                     is_slow=worker.name in slow,
-                    may_have_recovered=worker.name in slow and believed is not None and believed.is_old,
+                    may_have_recovered=worker.name in slow and last_known is not None and last_known.is_old,
                     num_expected_events=sum(view.num_expected_events for view in views),
                 )
             )
--- a/tests/unit/test_slow_workers_under_load.py
+++ b/tests/unit/test_slow_workers_under_load.py
@@ -16,7 +16,7 @@
 from worksramp.mechanisms import MECHANISMS
 from worksramp.rollout.batch_schedule import WaitingItem, WorkerView, assign
 from worksramp.rollout.fast_slots import FastSlots, SlotUse, fast_slots, gain_of_waiting_s
-from worksramp.rollout.pace import FORGET_SECONDS, PaceTracker
+from worksramp.rollout.pace import MAX_AGE_SECONDS, PaceTracker
 
 SEEDS = range(4)
 #: The longest text at a sound worker.
@@ -151,12 +151,12 @@
     for number in range(8):
         for worker, seconds in (("a", 0.04), ("b", 0.04), ("slow", 0.2)):
             pace.observe(worker, seconds, 0.1 * number)
-    later = 0.8 + FORGET_SECONDS
+    later = 0.8 + MAX_AGE_SECONDS
     assert pace.seconds_per_event("slow", later) is None
-    assert pace.believed_slow(later) == {"slow"}
+    assert pace.last_known_slow(later) == {"slow"}
     for number in range(3):
         pace.observe("slow", 0.04, later + 0.04 * number)
-    assert pace.believed_slow(later + 0.2) == {"slow"}
+    assert pace.last_known_slow(later + 0.2) == {"slow"}
     pace.observe("slow", 0.04, later + 0.2)
-    assert pace.believed_slow(later + 0.2) == frozenset()
-    assert pace.believed("b", later + 100.0) is None
+    assert pace.last_known_slow(later + 0.2) == frozenset()
+    assert pace.last_known("b", later + 100.0) is None
