--- a/src/worksramp/rollout/fast_slots.py
+++ b/src/worksramp/rollout/fast_slots.py
@@ -1,24 +1,24 @@
-"""How soon an item gets a slot of a fast worker, and what it gains there: pure functions of one view.
+"""Estimates when an item gets a slot of a fast worker and what it gains there: pure functions.
 
-Load pattern: steps pile up, as they do after an outage, while a part of the fleet runs at a fraction of the
-usual pace. Items outnumber slots, yet slots of fast workers become free many times a second.
+Load pattern: steps accumulate, for instance after an outage, while a part of the fleet is far slower than
+usual. There are more items than slots, but slots of fast workers become free many times per second.
 """
 
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-#: Paces within this ratio of the fastest count as fast: below it the difference may be chance.
+#: A worker is fast within this ratio of the fast seconds per event: a smaller difference may be chance.
 FAST_PACE_RATIO = 1.2
 
 
 @dataclass(frozen=True, slots=True)
 class SlotUse:
-    """The slots of one worker that an item may go to.
+    """Slots and load of one worker that may run an item.
 
     Attributes:
-        num_expected_events: events that its runs are still expected to make.
-        seconds_per_event: its pace as believed, None when nothing is known of it.
+        num_expected_events: estimate of the events that its runs will still generate.
+        seconds_per_event: last known seconds per event, None if not measured.
     """
 
     num_free: int
@@ -29,27 +29,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FastSlots:
-    """Slots of the fast workers that an item may go to.
+    """Slots of the fast workers that may run an item.
 
     Attributes:
-        seconds_per_event: their pace.
-        freed_per_s: how many of them become free a second.
+        seconds_per_event: seconds per event of the fast workers.
+        num_free: slots that are free now.
+        freed_per_s: slots that become free per second.
     """
 
     seconds_per_event: float
     num_free: int
     freed_per_s: float
 
-    def wait_s(self, num_before: int) -> float:
-        """Return how long an item waits that comes after ``num_before`` others."""
-        num_needed = num_before + 1 - self.num_free
+    def wait_s(self, num_ahead: int) -> float:
+        """Return how many seconds an item waits for a slot behind ``num_ahead`` others; may be infinite."""
+        num_needed = num_ahead + 1 - self.num_free
         if num_needed <= 0:
             return 0.0
         return num_needed / self.freed_per_s if self.freed_per_s > 0 else math.inf
 
 
 def fast_slots(uses: Sequence[SlotUse]) -> FastSlots | None:
-    """Return the slots of the fast ones among workers, None while no pace is known."""
+    """Return the slots of the fast workers among all, or None if no worker has been measured."""
     paces = [use.seconds_per_event for use in uses if use.seconds_per_event]
     if not paces:
         return None
@@ -61,29 +62,30 @@
 
 
 def fast_pace_s(paces: Sequence[float]) -> float:
-    """Return the pace of the fast workers: the lower quartile, since the least of many is chance."""
+    """Return the seconds per event of the fast workers: the lower quartile, as the minimum may be chance."""
     return sorted(paces)[len(paces) // 4]
 
 
-def gain_of_waiting_s(
-    num_events: float, pace_here_s: float | None, fast: FastSlots, num_before: int
-) -> float:
-    """Return the seconds by which an item ends sooner at a fast worker, the wait for its slot included.
+def gain_of_waiting_s(num_events: float, pace_here_s: float | None, fast: FastSlots, num_ahead: int) -> float:
+    """Return how many seconds earlier an item ends at a fast worker, after waiting for a slot there.
+
+    Negative if it ends later; 0 if its worker is itself a fast one, or has not been measured.
 
     Args:
-        num_events: still to be made.
-        pace_here_s: seconds for each event where it would be otherwise.
-        num_before: waiting items that come before it.
+        num_events: events still to be generated.
+        pace_here_s: seconds per event at the worker that it would run at otherwise, None if not measured.
+        num_ahead: waiting items that get slots before it.
     """
     if pace_here_s is None or pace_here_s <= FAST_PACE_RATIO * fast.seconds_per_event:
         return 0.0
-    return num_events * (pace_here_s - fast.seconds_per_event) - fast.wait_s(num_before)
+    return num_events * (pace_here_s - fast.seconds_per_event) - fast.wait_s(num_ahead)
 
 
 def _freed_per_s(use: SlotUse, fast_s: float) -> float:
-    """Return how many runs a worker ends a second, as if all were as long as their mean.
+    """Return how many runs a worker completes per second if all have the mean remaining length.
 
-    Lengths differ widely, so that more end than that: a wait is rather taken for too long than too short.
+    Lengths vary widely, so that more runs end than this. Waits are therefore overestimated rather than
+    underestimated.
     """
     if use.num_running == 0 or use.num_expected_events <= 0:
         return 0.0
--- a/src/worksramp/rollout/move_gain.py
+++ b/src/worksramp/rollout/move_gain.py
@@ -56,9 +56,9 @@
         fast = _slots_for(item, [place for place in self._places if place.worker_id != worker_id])
         if fast is None:
             return 0.0
-        return gain_of_waiting_s(num_events_left, pace_s, fast, self._num_before(item))
+        return gain_of_waiting_s(num_events_left, pace_s, fast, self._num_ahead(item))
 
-    def _num_before(self, item: WaitingItem) -> int:
+    def _num_ahead(self, item: WaitingItem) -> int:
         return bisect.bisect_left(self._ranks.get(item.needs, []), rank(item))
 
 
