--- a/src/worksramp/rollout/move_gain.py
+++ b/src/worksramp/rollout/move_gain.py
@@ -1,9 +1,10 @@
-"""What an item that runs would gain at another worker: a pure decision from one view.
+"""Estimates what a running item gains by a move to another worker: pure functions of one snapshot.
 
-Load pattern: workers turn slow under long items, in calm as well as while more items wait than there are
-slots. A move is worth its cost where the item gets a slot of a fast worker soon enough; while others wait, it
-comes after those that are longer or of an old batch, and one of the others takes the slot that it leaves.
-Each move breaks a connection, so that an item which ends before the longest of its batch stays where it is.
+Load pattern: workers become slow while they run long items, both at low load and while more items wait than
+there are slots. A move is worth its cost if the item gets a slot of a fast worker soon enough. While other
+items wait, the moved item queues behind those that are longer or of an old batch, and another item gets the
+slot that it frees. Each move breaks a connection, so an item that ends before the longest one of its batch is
+not moved.
 """
 
 import bisect
@@ -21,24 +22,24 @@
     gain_of_waiting_s,
 )
 
-#: Texts become up to about this much longer than estimated.
+#: Texts become up to about this many times as long as estimated.
 LENGTH_SPREAD = 2.0
 
 
-class Elsewhere:
-    """The workers of a fleet and what waits for them, at one moment."""
+class MoveEstimator:
+    """Snapshot of the workers of a fleet and of the items that wait for them."""
 
     def __init__(
-        self, places: list[WorkerView], waiting: list[WaitingItem], longest_left: Mapping[str, float]
+        self, workers: list[WorkerView], waiting: list[WaitingItem], longest_left: Mapping[str, float]
     ) -> None:
-        """Take a view in.
+        """Create an estimator.
 
         Args:
-            longest_left: events still to be made of the longest open item of each batch.
+            longest_left: for each batch, events still to be generated for its longest open item.
         """
-        self._places = places
+        self._workers = workers
         self._longest_left = longest_left
-        paces = [place.seconds_per_event for place in places if place.seconds_per_event]
+        paces = [worker.seconds_per_event for worker in workers if worker.seconds_per_event]
         self._fast_s = fast_pace_s(paces) if paces else math.inf
         self._ranks = defaultdict(list)
         for item in waiting:
@@ -47,13 +48,20 @@
             ranks.sort()
 
     def gain_s(self, item: WaitingItem, worker_id: str, pace_s: float, num_events_left: float) -> float:
-        """Return the seconds by which an item that runs at ``worker_id`` ends sooner elsewhere."""
+        """Return how many seconds earlier an item that runs at ``worker_id`` ends after a move.
+
+        The result is 0 if the item must not be moved now.
+
+        Args:
+            pace_s: seconds per event at ``worker_id``.
+            num_events_left: events still to be generated.
+        """
         if self._ranks and not _may_move_while_items_wait():
             return 0.0
         longest_left = self._longest_left.get(item.key[0], num_events_left)
         if not _is_critical(num_events_left * pace_s, longest_left * self._fast_s):
             return 0.0
-        fast = _slots_for(item, [place for place in self._places if place.worker_id != worker_id])
+        fast = _fast_slots_for(item, [worker for worker in self._workers if worker.worker_id != worker_id])
         if fast is None:
             return 0.0
         return gain_of_waiting_s(num_events_left, pace_s, fast, self._num_ahead(item))
@@ -64,27 +72,27 @@
 
 @mechanism("moves_of_critical_items", without=lambda left_s, longest_left_s: True)
 def _is_critical(left_s: float, longest_left_s: float) -> bool:
-    """Move only items that may end after the longest one of their batch would at a fast worker."""
+    """Move only items that may end later than the longest one of their batch would at a fast worker."""
     return LENGTH_SPREAD * left_s > longest_left_s
 
 
 @mechanism("moves_while_items_wait", without=lambda: False)
 def _may_move_while_items_wait() -> bool:
-    """Move long items off slow workers even while others wait for a place, or for weights."""
+    """Move long items off slow workers even while other items wait for a slot or for weights."""
     return True
 
 
-def _slots_for(item: WaitingItem, places: Iterable[WorkerView]) -> FastSlots | None:
-    """Return the slots of fast workers that an item may go to, None while no pace is known."""
+def _fast_slots_for(item: WaitingItem, workers: Iterable[WorkerView]) -> FastSlots | None:
+    """Return the slots of fast workers that may run an item, or None if no such worker has been measured."""
     return fast_slots(
         [
             SlotUse(
-                max(0, place.num_slots - place.num_running),
-                place.num_running,
-                place.num_expected_events,
-                place.seconds_per_event,
+                max(0, worker.num_slots - worker.num_running),
+                worker.num_running,
+                worker.num_expected_events,
+                worker.seconds_per_event,
             )
-            for place in places
-            if may_run(item, place) and not place.is_failing
+            for worker in workers
+            if may_run(item, worker) and not worker.is_failing
         ]
     )
--- a/src/worksramp/rollout/run_watch.py
+++ b/src/worksramp/rollout/run_watch.py
@@ -5,7 +5,7 @@
 
 from worksramp.mechanisms import mechanism
 from worksramp.rollout.item_work import ItemWork, Run
-from worksramp.rollout.move_gain import Elsewhere
+from worksramp.rollout.move_gain import MoveEstimator
 from worksramp.rollout.open_items import OpenItems
 from worksramp.rollout.pace import PaceTracker
 from worksramp.routing.failure_tracker import FailureTracker
@@ -79,7 +79,7 @@
         if not slow:
             # Most looks end here; the view of what is elsewhere is dear.
             return
-        elsewhere = Elsewhere(
+        estimator = MoveEstimator(
             self._items.worker_views(now),
             self._items.waiting_items(self._items.waiting(), now),
             self._longest_left(),
@@ -88,18 +88,18 @@
         for work, run in slow:
             if (
                 num_moves < MAX_MOVES_A_TICK
-                and self._gain_of_move(work, run, elsewhere, now) > MIN_MOVE_GAIN_SECONDS
+                and self._gain_of_move(work, run, estimator, now) > MIN_MOVE_GAIN_SECONDS
             ):
                 num_moves += 1
                 self._move(work, run, "faster_elsewhere", now)
 
-    def _gain_of_move(self, work: ItemWork, run: Run, elsewhere: Elsewhere, now: float) -> float:
+    def _gain_of_move(self, work: ItemWork, run: Run, estimator: MoveEstimator, now: float) -> float:
         """Return the seconds by which an item is expected to end sooner at another worker."""
         pace = self._pace.seconds_per_event(run.worker_id, now)
         items = self._items.waiting_items([work], now)
         if pace is None or not items:
             return 0.0
-        gain_s = elsewhere.gain_s(items[0], run.worker_id, pace, self._num_events_left(work))
+        gain_s = estimator.gain_s(items[0], run.worker_id, pace, self._num_events_left(work))
         return gain_s - MOVE_COST_SECONDS
 
     def _longest_left(self) -> dict[str, float]:
--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from worksramp.rollout.batch_schedule import WaitingItem, WorkerView, assign, rank
-from worksramp.rollout.move_gain import Elsewhere
+from worksramp.rollout.move_gain import MoveEstimator
 from worksramp.rollout.pace import PaceTracker
 from worksramp.rollout.run_watch import (
     EXPECTED_TAIL_SHARE,
@@ -160,7 +160,7 @@
         longest: dict[str, float] = {}
         for item in self._running() + self._waiting(now):
             longest[item.key[0]] = max(longest.get(item.key[0], 0.0), item.num_events_left(now))
-        elsewhere = Elsewhere(self._places(now), [item.view(now) for item in self._waiting(now)], longest)
+        estimator = MoveEstimator(self._places(now), [item.view(now) for item in self._waiting(now)], longest)
         num_moves = 0
         for item in self._running():
             pace = self.pace.seconds_per_event(item.worker, now)
@@ -172,7 +172,7 @@
                 continue
             left = item.num_events_left(now)
             if (
-                elsewhere.gain_s(item.view(now), item.worker, pace, left) - MOVE_COST_SECONDS
+                estimator.gain_s(item.view(now), item.worker, pace, left) - MOVE_COST_SECONDS
                 > MIN_MOVE_GAIN_SECONDS
             ):
                 num_moves += 1
--- a/tests/unit/test_closing_runs.py
+++ b/tests/unit/test_closing_runs.py
@@ -13,7 +13,7 @@
 
 from worksramp.logs import configure_logs
 from worksramp.rollout.batch_schedule import WaitingItem, WorkerView
-from worksramp.rollout.move_gain import Elsewhere
+from worksramp.rollout.move_gain import MoveEstimator
 from worksramp.routing.worker_port import WorkerAnswer, WorkerRequest
 from worksramp.routing.workers import WorkerEntry
 from worksramp_emulator.batch_fleet import FleetPort
@@ -65,5 +65,5 @@
 
 def test_an_item_whose_batch_has_no_other_one_left_can_be_weighed() -> None:
     place = WorkerView("fast", "s", 6, 0, 0, {"m": 1}, seconds_per_event=0.04)
-    elsewhere = Elsewhere([place], [], longest_left={})
-    assert elsewhere.gain_s(WaitingItem(("b", 0), "s", "m", 0.0, 10, 1, 1), "slow", 0.2, 10.0) > 1.0
+    estimator = MoveEstimator([place], [], longest_left={})
+    assert estimator.gain_s(WaitingItem(("b", 0), "s", "m", 0.0, 10, 1, 1), "slow", 0.2, 10.0) > 1.0
