--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -67,7 +67,7 @@
                 self._take_batches()
                 self._carried.drop_old()
                 self._forget_former_starts()
-                self._watch.look()
+                self._watch.check_runs()
                 self._runner.look(group)
                 self._scorer.look(group)
                 with anyio.move_on_after(TICK_SECONDS):
--- a/src/worksramp/rollout/run_watch.py
+++ b/src/worksramp/rollout/run_watch.py
@@ -1,4 +1,4 @@
-"""Watches runs for workers that are stuck, and for other workers that would end an item sooner."""
+"""Detects stuck runs and runs at slow workers, and moves their items to other workers."""
 
 import anyio
 import structlog
@@ -14,26 +14,26 @@
 MIN_STUCK_SECONDS = 0.7
 FIRST_EVENT_SECONDS = 1.2
 MIN_SECONDS_BETWEEN_MOVES = 0.6
-#: A move costs a new connection and the reading of the prompt and the text so far.
+#: A move opens a new connection, and the new worker has to read the prompt and the text so far.
 MOVE_COST_SECONDS = 0.1
 MIN_MOVE_GAIN_SECONDS = 0.25
-#: Lengths have a long tail: what has run for long is expected to go on for this share of it.
+#: Lengths have a long tail: a text is expected to grow by at least this share of its length so far.
 EXPECTED_TAIL_SHARE = 0.4
-MAX_MOVES_A_TICK = 2
+MAX_MOVES_PER_TICK = 2
 
 logger = structlog.get_logger()
 
 
 class RunWatch:
-    """Closes runs whose items get on sooner elsewhere; they wait for a place again with their text."""
+    """Closes runs whose items end sooner at another worker; the items wait for a slot with their texts."""
 
     def __init__(self, items: OpenItems, pace: PaceTracker, failures: FailureTracker) -> None:
         self._items = items
         self._pace = pace
         self._failures = failures
 
-    def look(self) -> None:
-        """Look at all runs once."""
+    def check_runs(self) -> None:
+        """Check all runs once and close those that are to be moved."""
         now = anyio.current_time()
         running = [
             (work, work.run)
@@ -51,7 +51,7 @@
         self._move_slow([(work, run) for work, run in running if not run.is_moving], now)
 
     def close_runs_at(self, worker_id: str) -> None:
-        """Take the runs at a worker that has started again for cut off."""
+        """Close the runs at a worker that has restarted, so that their items are assigned anew."""
         now = anyio.current_time()
         for work in list(self._items.works.values()):
             if work.run is not None and work.run.worker_id == worker_id and not work.run.is_moving:
@@ -60,7 +60,7 @@
 
     @mechanism("stuck_runs", without=lambda watch, run, typical, now: False)
     def _is_stuck(self, run: Run, typical: float | None, now: float) -> bool:
-        """Take a run that has been silent for long for stuck, and go on with its item elsewhere."""
+        """Treat a run without events for a long time as stuck, and continue its item at another worker."""
         silent = now - run.last_event_at
         if run.num_events == 0:
             return silent > FIRST_EVENT_SECONDS
@@ -68,7 +68,7 @@
 
     @mechanism("moves_to_faster", without=lambda watch, running, now: None)
     def _move_slow(self, running: list[tuple[ItemWork, Run]], now: float) -> None:
-        """Move items off slow workers where they end sooner elsewhere, the wait for a place included."""
+        """Move items off slow workers if they end sooner at another one, including the wait for its slot."""
         slow = [
             (work, run)
             for work, run in running
@@ -77,7 +77,7 @@
             and self._pace.is_slower_than_fast(run.worker_id, now)
         ]
         if not slow:
-            # Most looks end here; the view of what is elsewhere is dear.
+            # Most checks end here; the snapshot for the estimates is expensive.
             return
         estimator = MoveEstimator(
             self._items.worker_views(now),
@@ -87,14 +87,14 @@
         num_moves = 0
         for work, run in slow:
             if (
-                num_moves < MAX_MOVES_A_TICK
+                num_moves < MAX_MOVES_PER_TICK
                 and self._gain_of_move(work, run, estimator, now) > MIN_MOVE_GAIN_SECONDS
             ):
                 num_moves += 1
                 self._move(work, run, "faster_elsewhere", now)
 
     def _gain_of_move(self, work: ItemWork, run: Run, estimator: MoveEstimator, now: float) -> float:
-        """Return the seconds by which an item is expected to end sooner at another worker."""
+        """Return how many seconds earlier an item is expected to end after a move, net of its cost."""
         pace = self._pace.seconds_per_event(run.worker_id, now)
         items = self._items.waiting_items([work], now)
         if pace is None or not items:
--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -9,7 +9,7 @@
 from worksramp.rollout.pace import PaceTracker
 from worksramp.rollout.run_watch import (
     EXPECTED_TAIL_SHARE,
-    MAX_MOVES_A_TICK,
+    MAX_MOVES_PER_TICK,
     MIN_MOVE_GAIN_SECONDS,
     MIN_SECONDS_BETWEEN_MOVES,
     MOVE_COST_SECONDS,
@@ -167,7 +167,7 @@
             if (
                 pace is None
                 or now - item.started_at < MIN_SECONDS_BETWEEN_MOVES
-                or num_moves >= MAX_MOVES_A_TICK
+                or num_moves >= MAX_MOVES_PER_TICK
             ):
                 continue
             left = item.num_events_left(now)
