--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -68,7 +68,7 @@
                 self._carried.drop_old()
                 self._forget_former_starts()
                 self._watch.check_runs()
-                self._runner.look(group)
+                self._runner.start_runs(group)
                 self._scorer.look(group)
                 with anyio.move_on_after(TICK_SECONDS):
                     await self._wanted.wait()
--- a/src/worksramp/rollout/item_runner.py
+++ b/src/worksramp/rollout/item_runner.py
@@ -1,4 +1,4 @@
-"""Runs the open items of an owner at workers and takes in what came of each run."""
+"""Runs the open items of an owner at workers and handles the outcome of each run."""
 
 from collections.abc import Callable
 
@@ -36,20 +36,20 @@
 from worksramp.routing.workers import WorkerState
 
 FAILURE_PAUSE_SECONDS = 0.1
-#: Runs of open batches, which have the workers' default of 5, displace those of ended ones.
+#: Urgency of carried items: runs of open batches, which have the workers' default of 5, displace theirs.
 CARRIED_URGENCY = 8
 
 logger = structlog.get_logger()
 
-_take = OutcomeHandlers["ItemRunner", RunOutcome]()
+_outcome_handlers = OutcomeHandlers["ItemRunner", RunOutcome]()
 
 
 class ItemRunner:
-    """Gives waiting items to workers.
+    """Assigns waiting items to workers and runs them there.
 
     Args:
-        on_whole: told of each item whose text has become whole.
-        wake: has the owner look again at once.
+        on_text_complete: called with each item whose text has become complete.
+        wake: makes the owner's loop run again at once.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         pace: PaceTracker,
         failures: FailureTracker,
         lister: ItemLister,
-        on_whole: Callable[[ItemWork], None],
+        on_text_complete: Callable[[ItemWork], None],
         wake: Callable[[], None],
     ) -> None:
         self._context = context
@@ -67,11 +67,11 @@
         self._pace = pace
         self._failures = failures
         self._lister = lister
-        self._on_whole = on_whole
+        self._on_text_complete = on_text_complete
         self._wake = wake
 
-    def look(self, group: anyio.abc.TaskGroup) -> None:
-        """Give waiting items to workers that have room, those of ended batches after all others."""
+    def start_runs(self, group: anyio.abc.TaskGroup) -> None:
+        """Assign waiting items to free slots and start their runs, carried items after all others."""
         now = anyio.current_time()
         for waiting in (self._items.waiting(), self._items.carried_waiting(now)):
             if not waiting:
@@ -104,7 +104,7 @@
                 self._pace.observe(run.worker_id, now - run.last_event_at, now)
             run.record_event(now)
 
-        num_before = len(work.text.pieces)
+        num_events_before = len(work.text.pieces)
         if state is not None:
             with run.scope:
                 outcome = await self._run_at(state, spec, work, record_event)
@@ -114,13 +114,13 @@
         work.clock.enter(Stage.WAITING, anyio.current_time())
         self._context.on_run_ended(type(outcome).__name__)
         if not work.is_done:
-            self._take_outcome(work, run, outcome, len(work.text.pieces) - num_before)
+            self._handle_outcome(work, run, outcome, len(work.text.pieces) - num_events_before)
         self._wake()
 
     async def _run_at(
         self, state: WorkerState, spec: RunSpec, work: ItemWork, record_event: Callable[[], None]
     ) -> RunOutcome:
-        """Run an item at a worker, and take in what it shows of crashes."""
+        """Run an item at a worker and report to the quarantine what the outcome says about crashes."""
         quarantine = self._context.quarantine
         running = quarantine.running(fingerprint_of_run(spec))
         state.begin_item(running)
@@ -135,45 +135,45 @@
             state.end_item(running)
         return outcome
 
-    def _take_outcome(self, work: ItemWork, run: Run, outcome: RunOutcome, num_new: int) -> None:
+    def _handle_outcome(self, work: ItemWork, run: Run, outcome: RunOutcome, num_new: int) -> None:
         now = anyio.current_time()
         if isinstance(outcome, RunFinished | RunFailed | RunBroken) and not run.is_moving:
             self._failures.observe(run.worker_id, not isinstance(outcome, RunFinished), now)
         if not isinstance(outcome, RunFinished):
             self._log_ended(work, run, outcome, num_new)
-        _take.handle(self, outcome, work, run, now)
+        _outcome_handlers.handle(self, outcome, work, run, now)
 
-    @_take.handler(RunFinished)
-    def _take_finished(self, outcome: RunFinished, work: ItemWork, run: Run, now: float) -> None:
+    @_outcome_handlers.handler(RunFinished)
+    def _handle_finished(self, outcome: RunFinished, work: ItemWork, run: Run, now: float) -> None:
         self._log_finished(work, run, now)
-        self._on_whole(work)
+        self._on_text_complete(work)
 
-    @_take.handler(RunNeverPossible)
-    def _take_never_possible(self, outcome: RunNeverPossible, work: ItemWork, run: Run, now: float) -> None:
+    @_outcome_handlers.handler(RunNeverPossible)
+    def _handle_never_possible(self, outcome: RunNeverPossible, work: ItemWork, run: Run, now: float) -> None:
         self._give_up(work, "never_possible")
 
-    @_take.handler(RunFailed)
-    def _take_failed(self, outcome: RunFailed, work: ItemWork, run: Run, now: float) -> None:
+    @_outcome_handlers.handler(RunFailed)
+    def _handle_failed(self, outcome: RunFailed, work: ItemWork, run: Run, now: float) -> None:
         work.text.num_failures += 1
         work.failed_workers.add(run.worker_id)
         work.num_checkpointed = -1
         work.avoid(run.worker_id, now + AVOID_AFTER_BREAK_SECONDS)
         work.wait_until = now + FAILURE_PAUSE_SECONDS
         if work.text.num_failures >= work.route.max_attempts:
-            # As many failures again, and it is given up: they had better not be those of a failing worker.
+            # After as many failures again it is given up, so those should not come from failing workers.
             work.avoid_failing_until = now + AVOID_FAILING_S
         if work.has_failed_for_good():
             self._give_up(work, "failed")
 
     def _give_up(self, work: ItemWork, reason: str) -> None:
-        """List an item as given up; one of an ended batch is just not run again."""
+        """List an item as given up; a carried item is not listed, only not run again."""
         if work.is_carried:
             work.is_done = True
         else:
             self._lister.give_up(work, reason)
 
-    @_take.handler(RunNotBegun)
-    def _take_not_begun(self, outcome: RunNotBegun, work: ItemWork, run: Run, now: float) -> None:
+    @_outcome_handlers.handler(RunNotBegun)
+    def _handle_not_begun(self, outcome: RunNotBegun, work: ItemWork, run: Run, now: float) -> None:
         if outcome.is_gone:
             self._context.directory.mark_leaving(run.worker_id)
             return
@@ -183,14 +183,14 @@
             self._failures.observe(run.worker_id, is_failure=True, now=now)
             state.avoid_until = now + AVOID_AFTER_BREAK_SECONDS
 
-    @_take.handler(RunWrongVersion)
-    def _take_wrong_version(self, outcome: RunWrongVersion, work: ItemWork, run: Run, now: float) -> None:
+    @_outcome_handlers.handler(RunWrongVersion)
+    def _handle_wrong_version(self, outcome: RunWrongVersion, work: ItemWork, run: Run, now: float) -> None:
         self._note_version(run.worker_id, work.model, outcome.version)
         work.avoid(run.worker_id, now + AVOID_AFTER_REFUSAL_SECONDS)
-        self._drop_stale_text(work)
+        self._discard_stale_text(work)
 
-    @_take.handler(RunBroken)
-    def _take_broken(self, outcome: RunBroken, work: ItemWork, run: Run, now: float) -> None:
+    @_outcome_handlers.handler(RunBroken)
+    def _handle_broken(self, outcome: RunBroken, work: ItemWork, run: Run, now: float) -> None:
         if not run.is_moving:
             work.avoid(run.worker_id, now + AVOID_AFTER_BREAK_SECONDS)
 
@@ -228,8 +228,8 @@
         if state is not None:
             state.versions[model] = version
 
-    def _drop_stale_text(self, work: ItemWork) -> None:
-        """A text of one version that no worker has any more is begun anew."""
+    def _discard_stale_text(self, work: ItemWork) -> None:
+        """Discard a text that needs one version if no worker has that version any more."""
         if not work.route.needs_one_version or not work.text.versions:
             return
         version = work.text.versions[0]
