--- a/src/worksramp/rollout/batch_run.py
+++ b/src/worksramp/rollout/batch_run.py
@@ -1,4 +1,4 @@
-"""One run of an item at one worker, and the text that it adds."""
+"""Runs an item at a worker once, and builds its text from the events of the answer."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -20,13 +20,16 @@
 
 METHOD = "POST"
 STATUS_OK = 200
-STATUS_NEVER = 422
+STATUS_NEVER_POSSIBLE = 422
 STATUS_FAILED = 500
 
 
 @dataclass(slots=True)
 class TextBuilder:
-    """Text of an item as it grows; events are taken whole and in order."""
+    """Text of an item that is still being generated; complete events are added in order.
+
+    See `GeneratedText` for the attributes.
+    """
 
     pieces: list[str] = field(default_factory=list)
     last_event_id: str | None = None
@@ -38,7 +41,7 @@
 
     @classmethod
     def from_text(cls, text: GeneratedText) -> "TextBuilder":
-        """Return a builder that goes on from a kept text."""
+        """Return a builder that continues a kept text."""
         return cls(
             list(text.pieces),
             text.last_event_id,
@@ -50,7 +53,7 @@
         )
 
     def freeze(self, batch_id: str) -> GeneratedText:
-        """Return the text so far, its failures counted in ``batch_id``."""
+        """Return the text so far; ``batch_id`` is the batch that its failures were counted in."""
         return GeneratedText(
             tuple(self.pieces),
             self.last_event_id,
@@ -63,16 +66,16 @@
         )
 
     def copy(self) -> "TextBuilder":
-        """Return a builder of the same text that grows apart from this one."""
+        """Return an independent builder of the same text."""
         return TextBuilder.from_text(self.freeze(""))
 
     def clear(self) -> None:
-        """Throw the text and its score away; failures stay counted."""
+        """Discard the text and its score, but keep the failure counts."""
         self.pieces, self.last_event_id, self.versions, self.is_whole = [], None, [], False
         self.score = None
 
     def add(self, event: StreamEvent, version: int) -> None:
-        """Add a whole event made under ``version``."""
+        """Add a complete event that weight version ``version`` generated."""
         self.pieces.append(event.data)
         self.score = None
         self.last_event_id = event.event_id
@@ -82,15 +85,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFinished:
-    """The text is whole."""
+    """The text is complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunNotBegun:
-    """The worker did not run it.
+    """The worker did not run the item.
 
     Attributes:
-        is_gone: the worker takes no more work, or is another one by now.
+        is_gone: the worker accepts no more work, or another worker answered at its address.
     """
 
     reason: str
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunBroken:
-    """The run ended early; its whole events were kept.
+    """The run ended early; its complete events were kept.
 
     Attributes:
         is_connection_lost: the connection broke, as it does when the worker crashes.
@@ -118,12 +121,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunNeverPossible:
-    """The worker says that the item can never be done."""
+    """The worker answered that the item can never be run."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunWrongVersion:
-    """The worker's weights may not make this text."""
+    """The worker's weight version may not continue this text."""
 
     version: int
 
@@ -133,11 +136,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSpec:
-    """What one run must keep to.
+    """What to run, and the conditions that its events must meet.
 
     Attributes:
-        min_version: oldest weights that may make an event.
-        needs_one_version: all events must come from one version.
+        min_version: oldest weight version that may generate an event.
+        needs_one_version: all events must come from one weight version.
+        urgency: urgency sent to the worker, None for the worker's default.
     """
 
     item: BatchItem
@@ -148,19 +152,19 @@
 
 
 def may_add(text: TextBuilder, version: int, spec: RunSpec) -> bool:
-    """Return whether an event of ``version`` may join the text."""
+    """Return whether an event of weight version ``version`` may be added to the text."""
     if version < spec.min_version:
         return False
     return not (spec.needs_one_version and text.versions and text.versions != [version])
 
 
 def fingerprint_of_run(spec: RunSpec) -> str:
-    """Return what is the same for all runs of an item."""
+    """Return the fingerprint of an item's request, which is the same for all its runs."""
     return fingerprint_of(METHOD, spec.host.encode(), spec.item.target.encode(), spec.item.body)
 
 
 def request_for(spec: RunSpec, text: TextBuilder) -> WorkerRequest:
-    """Return the request of a run that goes on after the text so far."""
+    """Return the request of a run that resumes after the text so far."""
     headers = [(b"host", spec.host.encode())]
     headers += [(name.encode(), value.encode()) for name, value in spec.item.headers]
     return WorkerRequest(
@@ -181,14 +185,17 @@
     text: TextBuilder,
     on_event: Callable[[], None],
 ) -> RunOutcome:
-    """Run an item at a worker and add what it makes to ``text``.
+    """Run an item at a worker and add the events that arrive to ``text``.
+
+    If cancelled, the connection is closed, and the worker then aborts the run.
 
-    Cancelling closes the connection, upon which the worker drops the run.
+    Args:
+        on_event: called after each event that was added.
     """
     try:
         async with port.send(worker, request_for(spec, text)) as answer:
             if answer.status != STATUS_OK or answer.is_not_run:
-                return _refusal(answer)
+                return _outcome_of_refusal(answer)
             return await _read_text(port, answer, spec, text, on_event)
     except WorkerUnreachableError as error:
         return RunNotBegun(f"unreachable: {error}")
@@ -196,12 +203,12 @@
         return RunBroken(str(error), is_connection_lost=True)
 
 
-def _refusal(answer: WorkerAnswer) -> RunOutcome:
+def _outcome_of_refusal(answer: WorkerAnswer) -> RunOutcome:
     if answer.is_other_worker:
         return RunNotBegun("other_worker", is_gone=True)
     if answer.is_not_run:
         return RunNotBegun(f"status_{answer.status}", is_gone=answer.is_leaving)
-    if answer.status == STATUS_NEVER and answer.is_signed:
+    if answer.status == STATUS_NEVER_POSSIBLE and answer.is_signed:
         return RunNeverPossible()
     if answer.status == STATUS_FAILED and answer.is_signed:
         return RunFailed(answer.status)
@@ -217,12 +224,12 @@
 ) -> RunOutcome:
     version = answer.weight_version
     if version is None or not answer.is_signed:
-        return RunBroken("unsigned answer or no version told")
+        return RunBroken("unsigned answer or missing weight version")
     splitter = EventSplitter()
     async for chunk in answer.body:
         for event in splitter.feed(chunk):
-            told = parse_count(event.fields.get(port.version_field, ""))
-            version = version if told is None else told
+            reported = parse_count(event.fields.get(port.version_field, ""))
+            version = version if reported is None else reported
             if not may_add(text, version, spec):
                 return RunWrongVersion(version)
             text.add(event, version)
