--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -65,7 +65,7 @@
             group.start_soon(self._texts.forget_forever)
             while not self._is_stopping:
                 self._take_batches()
-                self._carried.drop_old()
+                self._carried.discard_expired()
                 self._forget_former_starts()
                 self._watch.check_runs()
                 self._runner.start_runs(group)
@@ -137,7 +137,7 @@
         for index, item in items.items():
             kept = self._texts.kept(item.item_id) or earlier.get(item.item_id)
             text = text_to_start_from(kept, batch, route)
-            carried = self._carried.take(item.item_id)
+            carried = self._carried.pop_text(item.item_id)
             if carried is not None:
                 text = longer_text(text, text_to_start_from(carried.freeze(""), batch, route))
             work = ItemWork(
