--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -1,7 +1,8 @@
-"""The owner of a shard takes its batches: their items are run, scored and listed.
+"""Processes the batches of a shard on the node that owns it: items are run, scored and listed as results.
 
-One loop gives waiting items to workers, watches runs for workers that are stuck or far slower than the rest,
-and has whole texts scored; one task keeps texts in the log so that the next owner goes on from them.
+One loop assigns waiting items to workers, checks whether runs are stuck or their workers far slower than the
+others, and sends scoring calls for complete texts. One task writes texts to the log, so that the next owner
+continues them.
 """
 
 import anyio
@@ -32,7 +33,11 @@
 
 
 class BatchOwner:
-    """Runs the items of all open batches of a shard, for as long as the lease is held."""
+    """Runs the items of all open batches of a shard while this node holds the lease.
+
+    Attributes:
+        items: open items of the shard.
+    """
 
     def __init__(self, context: OwnerContext) -> None:
         self._context = context
@@ -45,18 +50,18 @@
         self._results = ResultWriter(context.values.store, context.writer, context.max_record_bytes)
         self._lister = ItemLister(context, self.items, self._texts, self._results)
         self._runner = ItemRunner(
-            context, self.items, self._pace, self._failures, self._lister, self._take_whole, self.wake
+            context, self.items, self._pace, self._failures, self._lister, self._on_text_complete, self.wake
         )
         self._scorer = ItemScorer(context, self.items, self._failures, self._lister, self.wake)
         self._carried = CarriedItems(context, self.items)
         self._starts = WorkerStarts(context.directory)
-        self._seen_batches: set[str] = set()
-        self._wanted = anyio.Event()
+        self._opened_batches: set[str] = set()
+        self._wake_event = anyio.Event()
         self._group: anyio.abc.TaskGroup | None = None
         self._is_stopping = False
 
     async def run(self) -> None:
-        """Run items until cancelled."""
+        """Process batches until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._results.run)
@@ -64,24 +69,24 @@
             group.start_soon(self._texts.checkpoint_forever)
             group.start_soon(self._texts.forget_forever)
             while not self._is_stopping:
-                self._take_batches()
+                self._update_batches()
                 self._carried.discard_expired()
-                self._forget_former_starts()
+                self._handle_restarted_workers()
                 self._watch.check_runs()
                 self._runner.start_runs(group)
                 self._scorer.look(group)
                 with anyio.move_on_after(TICK_SECONDS):
-                    await self._wanted.wait()
-                self._wanted = anyio.Event()
-            # What is still to be written is the writer's; the runs are closed.
+                    await self._wake_event.wait()
+                self._wake_event = anyio.Event()
+            # All runs are closed; what is still to be written is left to the writer tasks.
             await anyio.sleep_forever()
 
     def wake(self) -> None:
-        """Look again at once: something has changed."""
-        self._wanted.set()
+        """Run the loop again at once, since something has changed."""
+        self._wake_event.set()
 
     def stop_runs(self) -> None:
-        """Begin nothing more, close all runs and put their texts into the log."""
+        """Start no more runs, cancel all runs and queue their texts for writing."""
         self._is_stopping = True
         for work in self.items.works.values():
             work.stop()
@@ -89,34 +94,32 @@
         self.wake()
 
     async def flush(self) -> None:
-        """Return once all results and texts so far are written."""
+        """Wait until all results and texts so far are written."""
         await self._texts.flush()
         await self._results.wait_drained()
 
     @property
     def num_unwritten_results(self) -> int:
-        """Listed items whose texts are not known to be in the store."""
+        """Number of results whose texts are not known to be in the store."""
         return self._results.num_waiting
 
-    def _forget_former_starts(self) -> None:
+    def _handle_restarted_workers(self) -> None:
         for worker_id in self._starts.restarted():
             self._pace.discard_worker(worker_id)
             self._failures.forget(worker_id)
             self._watch.close_runs_at(worker_id)
 
-    # Batches.
-
-    def _take_batches(self) -> None:
+    def _update_batches(self) -> None:
         ledger = self._context.ledger
         for batch_id, batch in list(ledger.batches.items()):
             route = self._route(batch)
             if batch.is_ended:
                 self._drop_batch(batch_id, batch)
-            elif batch_id not in self._seen_batches and route is not None:
-                self._seen_batches.add(batch_id)
+            elif batch_id not in self._opened_batches and route is not None:
+                self._opened_batches.add(batch_id)
                 assert self._group is not None
                 self._group.start_soon(self._open_batch, batch_id, batch, route)
-            elif batch_id in self._seen_batches:
+            elif batch_id in self._opened_batches:
                 self._give_up_old(batch, route)
 
     def _route(self, batch: Batch) -> Route | None:
@@ -124,7 +127,7 @@
         return None if table is None else table.match(batch.header.host, batch.header.path)
 
     async def _open_batch(self, batch_id: str, batch: Batch, route: Route) -> None:
-        """Read the items of a batch that are not listed yet, and have them run."""
+        """Read the items of a batch that are not listed yet, and add them to the open items."""
         item_ids = batch.header.item_ids
         indices = [index for index, item_id in enumerate(item_ids) if item_id not in batch.listed]
         items = await self._reader.items(batch, indices)
@@ -153,7 +156,7 @@
             self.items.works[work.key] = work
             if work.text.is_whole:
                 num_reused += 1
-                self._take_whole(work)
+                self._on_text_complete(work)
         logger.info(
             "batch_taken",
             batch_id=batch_id,
@@ -171,9 +174,9 @@
         self.wake()
 
     def _drop_batch(self, batch_id: str, batch: Batch) -> None:
-        if batch_id not in self._seen_batches:
+        if batch_id not in self._opened_batches:
             return
-        self._seen_batches.discard(batch_id)
+        self._opened_batches.discard(batch_id)
         num_cut = 0
         now = anyio.current_time()
         for work in self.items.of_batch(batch_id):
@@ -194,14 +197,15 @@
         logger.info("batch_ended", batch_id=batch_id, num_cut=num_cut)
 
     def _give_up_old(self, batch: Batch, route: Route | None) -> None:
+        """Give up the open items of a batch that is older than twice the ``keep_seconds`` of its route."""
         keep_seconds = None if route is None else route.keep_seconds
         if keep_seconds is None or self._context.time_of_day() - batch.header.submitted_at < 2 * keep_seconds:
             return
         for work in self.items.of_batch(batch.header.batch_id):
             self._lister.give_up(work, "too_old")
 
-    def _take_whole(self, work: ItemWork) -> None:
-        """List an item whose text is whole, unless its batch has ended or its score is still to come."""
+    def _on_text_complete(self, work: ItemWork) -> None:
+        """List an item whose text is complete, unless its batch has ended or its score is missing."""
         if work.is_carried:
             return
         if work.is_scored:
