--- a/src/worksramp/rollout/owner_context.py
+++ b/src/worksramp/rollout/owner_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an owner of a shard share."""
+"""Defines the dependencies that the parts of a shard's owner share."""
 
 import time
 from collections.abc import Callable
@@ -15,11 +15,15 @@
 
 
 def _ignore(_: object) -> None:
-    """Take in nothing."""
+    """Do nothing."""
 
 
 class TableSource:
-    """Where the configuration in force is found."""
+    """Holder of the route table in force, which the node replaces when the configuration changes.
+
+    Attributes:
+        current: None until a configuration has been loaded.
+    """
 
     def __init__(self) -> None:
         self.current: RouteTable | None = None
@@ -27,20 +31,25 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerContext:
-    """What an owner works with.
+    """Dependencies and settings of an owner.
 
     Attributes:
-        values: items and texts of batches.
-        progress: texts so far of items, for the next owner.
-        table: where the configuration in force is found.
-        named_versions: newest version of each model, kept up to date by the node.
-        cancel_s: an item must reach no worker later than this after the end of its batch.
-        quarantine: what is known of requests that crash workers.
-        status_seconds: age until which the results of an ended batch are kept.
-        time_of_day: seconds, as batches are stamped.
-        on_run_ended: told the class of each run's outcome.
-        on_scoring_ended: told the class of each scoring call's outcome.
-        on_listed: told the age of the batch, in seconds, at each listing.
+        ledger: batches of the shard, as read from its partition.
+        values: store of the items and texts of batches.
+        progress: store of the texts so far of open items, for the next owner.
+        directory: workers that may be used.
+        port: sends requests to workers.
+        writer: appends to the partition of the shard, fenced by the owner's epoch.
+        table: holder of the route table in force.
+        max_record_bytes: largest record that the store accepts.
+        status_seconds: age of an ended batch until which its results are kept.
+        named_versions: newest version of each model, updated by the node.
+        cancel_s: no item may reach a worker later than this many seconds after the end of its batch.
+        quarantine: keeps requests that crash workers from workers.
+        time_of_day: returns the time in seconds that batches are stamped with.
+        on_run_ended: called with the class name of each run's outcome.
+        on_scoring_ended: called with the class name of each scoring call's outcome.
+        on_listed: called at each listing with the age of the batch in seconds.
     """
 
     ledger: BatchLedger
