--- a/src/worksramp/rollout/item_lister.py
+++ b/src/worksramp/rollout/item_lister.py
@@ -1,4 +1,4 @@
-"""Lists items: each open item of an owner's batches gets one position, completed or given up."""
+"""Lists items as results: each item gets one position in its batch, as completed or as given up."""
 
 import anyio
 import structlog
@@ -14,7 +14,7 @@
 
 
 class ItemLister:
-    """Gives out the positions of an owner's batches."""
+    """Assigns result positions to the items of an owner's batches and queues the results for writing."""
 
     def __init__(
         self, context: OwnerContext, items: OpenItems, texts: TextKeeper, results: ResultWriter
@@ -26,11 +26,11 @@
         self._next_positions: dict[str, int] = {}
 
     def open_batch(self, batch_id: str, num_results: int) -> None:
-        """Go on after the results that a batch has."""
+        """Continue after the results that a batch already has."""
         self._next_positions[batch_id] = num_results
 
     def complete(self, work: ItemWork) -> None:
-        """List an item whose text is whole and scored."""
+        """List an item as completed; its text must be complete and, if required, scored."""
         text = work.text
         self._list(
             work,
@@ -44,7 +44,11 @@
         )
 
     def give_up(self, work: ItemWork, reason: str) -> None:
-        """List an item as given up."""
+        """Cancel the run and the scoring calls of an item, and list it as given up.
+
+        Args:
+            reason: only logged.
+        """
         work.stop()
         self._list(work, BatchResult(work.item.item_id, False, "", ()))
         logger.warning(
