--- a/tests/unit/test_batch_decisions.py
+++ b/tests/unit/test_batch_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions about batches from one view: who runs what, who loads, who claims, who orders."""
+"""Tests of decisions about batches: assignments, weight loads, lease claims and orders to workers."""
 
 import math
 
@@ -35,7 +35,7 @@
     return WaitingItem(**(values | changes))  # type: ignore[arg-type]
 
 
-def place(
+def worker_view(
     name: str, num_slots: int = 2, num_running: int = 0, version: int = 1, **changes: object
 ) -> WorkerView:
     values = {
@@ -45,37 +45,44 @@
     return WorkerView(**(values | changes))  # type: ignore[arg-type]
 
 
-def given(waiting: list[WaitingItem], places: list[WorkerView]) -> dict[int, str]:
-    return {assignment.key[1]: assignment.worker_id for assignment in assign(waiting, places)}
+def assigned(waiting: list[WaitingItem], views: list[WorkerView]) -> dict[int, str]:
+    return {assignment.key[1]: assignment.worker_id for assignment in assign(waiting, views)}
 
 
 def test_the_longest_items_get_the_fast_workers() -> None:
-    fast, slow = place("fast", seconds_per_event=0.04), place("slow", seconds_per_event=0.053)
-    assert given([item(0, 10), item(1, 900), item(2, 500), item(3, 20)], [slow, fast]) == {
+    fast, slow = worker_view("fast", seconds_per_event=0.04), worker_view("slow", seconds_per_event=0.053)
+    assert assigned([item(0, 10), item(1, 900), item(2, 500), item(3, 20)], [slow, fast]) == {
         1: "fast", 2: "fast", 3: "slow", 0: "slow",
     }  # fmt: skip
 
 
 def test_old_batches_go_first() -> None:
-    assert given([item(0, 900), item(1, 10, batch_age_seconds=3.0)], [place("w", 1)]) == {1: "w"}
+    assert assigned([item(0, 900), item(1, 10, batch_age_seconds=3.0)], [worker_view("w", 1)]) == {1: "w"}
 
 
-def test_no_item_goes_where_its_versions_do_not_allow() -> None:
-    places = [place("old", version=1), place("new", version=3), place("loads", 9, loading=frozenset("m"))]
-    assert given([item(0, min_version=2)], places) == {0: "new"}
-    assert given([item(0, only_version=2)], places) == {}
-    assert given([item(0, avoided=frozenset(["new", "old"]))], places) == {}
+def test_items_are_assigned_only_to_workers_that_their_versions_allow() -> None:
+    views = [
+        worker_view("old", version=1),
+        worker_view("new", version=3),
+        worker_view("loads", 9, loading=frozenset("m")),
+    ]
+    assert assigned([item(0, min_version=2)], views) == {0: "new"}
+    assert assigned([item(0, only_version=2)], views) == {}
+    assert assigned([item(0, avoided=frozenset(["new", "old"]))], views) == {}
 
 
 def test_no_more_runs_than_slots() -> None:
-    assert len(given([item(number) for number in range(9)], [place("a", 3, 1), place("b", 2, 2)])) == 2
+    assert (
+        len(assigned([item(number) for number in range(9)], [worker_view("a", 3, 1), worker_view("b", 2, 2)]))
+        == 2
+    )
 
 
-def test_paces_that_hardly_differ_are_one_tier() -> None:
+def test_workers_with_nearly_equal_seconds_per_event_share_one_tier() -> None:
     assert [pace_tier(pace, 0.04) for pace in (None, 0.04, 0.045, 0.053, 0.14)] == [0, 0, 0, 2, 8]
 
 
-def test_a_slow_worker_is_known_by_its_pace_until_that_is_too_old() -> None:
+def test_a_worker_counts_as_slow_only_while_its_measurement_is_recent() -> None:
     pace = PaceTracker()
     for step in range(10):
         for worker, seconds in (("a", 0.04), ("b", 0.04), ("c", 0.14)):
@@ -95,7 +102,7 @@
     )
 
 
-def test_a_worker_that_may_not_run_what_waits_loads_at_once_and_others_when_idle() -> None:
+def test_a_worker_too_old_for_waiting_items_loads_at_once_and_others_when_idle() -> None:
     busy, idle = WorkerVersion("busy", 2, 3, False), WorkerVersion("idle", 2, 0, False)
     too_old = WorkerVersion("old", 1, 0, False)
     assert decide_moves([need(busy, idle, too_old, min_version=2, num_waiting=1)], 0, 2) == [
@@ -104,7 +111,7 @@
     assert [move.worker_id for move in decide_moves([need(busy, idle, too_old)], 0, 2)] == ["old", "idle"]
 
 
-def test_no_more_loads_at_once_than_allowed_and_one_order_a_worker() -> None:
+def test_concurrent_loads_are_limited_and_each_worker_gets_one_order() -> None:
     workers = tuple(WorkerVersion(f"w{number}", 1, 0, False) for number in range(5))
     assert len(decide_moves([need(*workers, min_version=2)], 0, 2)) == 2
     assert len(decide_moves([need(*workers, min_version=2)], 2, 2)) == 0
@@ -133,7 +140,7 @@
     ]
 
 
-def test_three_models_on_24_workers_load_at_their_homes_in_turn_as_many_at_once_as_the_fleet_bears() -> None:
+def test_three_models_on_24_workers_load_at_their_homes_in_turn_up_to_the_load_limit() -> None:
     needs = three_needs(48)
     assert [len(need.homes or ()) for need in needs] == [8, 8, 8]
     assert len(frozenset.union(*[need.homes or frozenset() for need in needs])) == 24
@@ -168,7 +175,7 @@
     assert place_models(demands, slow) == after
 
 
-def test_helpers_load_only_for_what_finds_no_slot_in_sight_and_never_a_slow_one() -> None:
+def test_helpers_load_only_if_free_and_loading_slots_are_too_few_and_slow_ones_never_do() -> None:
     workers = fleet(4)
     slow_helper = WorkerVersion("slow", 1, 0, False, num_free_slots=8, is_slow=True)
 
@@ -185,7 +192,7 @@
     assert moved(100) == ["w0", "w1", "w2", "w3"]
 
 
-def test_a_worker_that_fails_part_of_what_it_gets_is_suspect_until_that_is_old() -> None:
+def test_a_worker_that_fails_a_large_share_counts_as_failing_until_the_failures_are_old() -> None:
     failures = FailureTracker()
     for number in range(8):
         failures.observe("grey", is_failure=number % 2 == 0, now=number / 10)
@@ -195,13 +202,13 @@
     assert failures.suspects(8.0) == frozenset()
 
 
-def test_a_suspect_worker_gets_what_finds_no_other_place() -> None:
-    grey, slow = place("grey", is_failing=True), place("slow", is_slow=True)
-    assert given([item(0), item(1)], [grey, slow]) == {0: "slow", 1: "slow"}
-    assert given([item(0)], [grey, place("slow", is_slow=True, num_running=2)]) == {0: "grey"}
+def test_a_failing_worker_gets_only_items_without_another_free_slot() -> None:
+    grey, slow = worker_view("grey", is_failing=True), worker_view("slow", is_slow=True)
+    assert assigned([item(0), item(1)], [grey, slow]) == {0: "slow", 1: "slow"}
+    assert assigned([item(0)], [grey, worker_view("slow", is_slow=True, num_running=2)]) == {0: "grey"}
 
 
-def test_failures_at_different_workers_count_and_twice_as_many_at_the_same_ones() -> None:
+def test_an_item_fails_for_good_at_different_workers_or_with_twice_as_many_failures_at_one() -> None:
     route = Route("r", "h", "/", RouteKind.BATCH, (SplitPart("s", 1.0),), max_attempts=3)
     batch_item = BatchItem("x", "/", (), b"", 10)
     work = ItemWork(("b", 0), batch_item, "m", route, 0.0, 1, TextBuilder())
@@ -221,7 +228,7 @@
     return LeaseView(owner=owner, owner_changed_at=changed_at, **(values | changes))  # type: ignore[arg-type]
 
 
-def test_a_lease_is_claimed_once_its_owner_is_silent_and_the_copy_is_fresh() -> None:
+def test_a_lease_is_claimed_once_its_owner_is_silent_and_the_replica_is_fresh() -> None:
     owner = OwnerRecord("a", "x", 4)
     assert decide_claim(view(owner), TIMES, 1.3) == LeaveLease("owner_renews")
     assert decide_claim(view(owner), TIMES, 1.5) == ClaimLease(5)
@@ -230,37 +237,37 @@
     assert decide_claim(view(None), TIMES, 0.3) == ClaimLease(1)
 
 
-def test_a_lease_given_back_or_held_by_a_former_process_of_this_machine_is_claimed_at_once() -> None:
+def test_a_released_lease_or_one_of_a_former_process_of_this_machine_is_claimed_at_once() -> None:
     assert decide_claim(view(OwnerRecord("a", "x", 4, is_released=True)), TIMES, 0.3) == ClaimLease(5)
     assert decide_claim(view(OwnerRecord("a", "x", 4), is_own_machine=True), TIMES, 0.0) == ClaimLease(5)
 
 
-def test_small_machines_leave_a_claim_to_large_ones() -> None:
+def test_small_machines_delay_claims_longer_than_large_ones() -> None:
     assert claim_delay_range(2.15) == (0.0, 0.2)
     assert claim_delay_range(0.516)[0] > claim_delay_range(2.15)[1]
 
 
-def test_orders_wait_for_a_former_owners_announcement_and_need_a_young_renewal() -> None:
+def test_orders_wait_for_a_former_owners_announcement_and_need_a_recent_renewal() -> None:
     assert not may_order(now=10.0, former_order_at=6.0, renewed_at=10.0, times=TIMES)
     assert may_order(now=10.3, former_order_at=6.0, renewed_at=10.0, times=TIMES)
-    # As after a pause that the owner did not notice.
+    # For instance after a suspension that the owner did not detect.
     assert not may_order(now=13.0, former_order_at=6.0, renewed_at=10.0, times=TIMES)
 
 
-def test_the_last_order_of_another_machine_is_as_old_as_its_owner_says_at_least() -> None:
+def test_the_last_order_of_another_machine_is_at_least_as_old_as_its_owner_says() -> None:
     record = OwnerRecord("a", "a1", 3, num_orders=4, last_order_node="a", last_order_age_s=5.0)
     assert latest_order_at(record, "b", now=100.0) == 95.0
     assert latest_order_at(record, "a", now=100.0) == -math.inf
 
 
-def test_an_order_handed_on_by_an_owner_that_gave_none_keeps_its_machine() -> None:
+def test_an_order_passed_on_by_an_owner_without_orders_keeps_its_machine() -> None:
     record = OwnerRecord("b", "b1", 4, num_orders=4, last_order_node="a", last_order_age_s=1.0)
     assert latest_order_at(record, "c", now=100.0) == 99.0
     assert latest_order_at(record, "b", now=100.0) == 99.0
     assert latest_order_at(record, "a", now=100.0) == -math.inf
 
 
-def test_a_record_of_an_older_release_keeps_everybody_from_ordering() -> None:
+def test_a_record_of_an_older_release_blocks_orders_of_all_machines() -> None:
     record = OwnerRecord("a", "a1", 3, num_orders=4)
     assert latest_order_at(record, "a", now=100.0) == 100.0
     assert record.is_order_open
@@ -270,7 +277,7 @@
     return TextBuilder(["a", "b"], "1", [3], is_whole=True, score=Score("call", "signature"))
 
 
-def test_a_text_that_is_made_anew_loses_its_score_and_a_kept_one_does_not() -> None:
+def test_a_cleared_or_extended_text_loses_its_score_and_a_kept_one_does_not() -> None:
     text = scored_text()
     assert TextBuilder.from_text(text.freeze("b1")).score == Score("call", "signature")
     text.clear()
@@ -280,7 +287,7 @@
     assert grown.score is None
 
 
-def test_the_longer_text_goes_on_and_failures_stay_counted() -> None:
+def test_the_longer_text_is_continued_with_the_failure_counts_of_the_first() -> None:
     kept, carried = TextBuilder(["a"], "0", [3], num_failures=2), TextBuilder(["a", "b"], "1", [4])
     assert (longer_text(kept, carried).pieces, longer_text(kept, carried).num_failures) == (["a", "b"], 2)
     assert longer_text(carried, kept) is carried
