--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -1,4 +1,4 @@
-"""Replays a load of items before the schedule's decisions alone: no owner, no bench, a virtual clock."""
+"""Replays a load of items against the scheduling functions alone, without an owner, on a virtual clock."""
 
 import random
 from collections import defaultdict
@@ -17,10 +17,10 @@
 
 TICK_S = 0.05
 NUM_SLOTS = 6
-SOUND_PACE_S = 0.0385
+NORMAL_PACE_S = 0.0385
 TOKENS_PER_EVENT = 59
 MAX_EVENTS = 182
-#: Prompts are read between the events of others.
+#: Range of the factor on the time between two events: workers read prompts between the events of other runs.
 GAP_SPREAD = (0.7, 1.6)
 GROUP_SIZE = 16
 
@@ -42,11 +42,11 @@
     avoided: frozenset[str] = frozenset()
 
     def num_events_left(self, now: float) -> float:
-        """Return what is still to be made, as the owner estimates it."""
+        """Return the events still to be generated, as the owner estimates them."""
         return max(self.view(now).num_expected_events, EXPECTED_TAIL_SHARE * self.num_made)
 
     def view(self, now: float) -> WaitingItem:
-        """Return it as the schedule sees it."""
+        """Return the item as scheduler input."""
         left = max(self.hint_tokens - int(self.num_made) * TOKENS_PER_EVENT, TOKENS_PER_EVENT)
         return WaitingItem(
             self.key,
@@ -64,7 +64,7 @@
 
 @dataclass
 class Worker:
-    """A worker; slow while ``slow_from <= now < slow_to``, with version 2 from ``loaded_at`` on."""
+    """A worker that is slow while ``slow_from <= now < slow_to`` and has version 2 from ``loaded_at`` on."""
 
     name: str
     factor: float = 1.0
@@ -73,13 +73,13 @@
     loaded_at: float = 0.0
 
     def pace(self, now: float) -> float:
-        """Return seconds for each event now."""
-        return SOUND_PACE_S * (self.factor if self.slow_from <= now < self.slow_to else 1.0)
+        """Return the seconds per event now."""
+        return NORMAL_PACE_S * (self.factor if self.slow_from <= now < self.slow_to else 1.0)
 
 
 @dataclass
 class Replay:
-    """A load and a fleet."""
+    """A load of items and a fleet of workers."""
 
     workers: list[Worker]
     items: list[Item] = field(default_factory=list)
@@ -88,14 +88,14 @@
     num_moves: int = 0
 
     def ask(self, name: str, at: float, num_groups: int, source: random.Random, min_version: int = 1) -> None:
-        """Add a step: many short items, few very long ones, lengths that are known roughly."""
+        """Add a step of many short items and few very long ones, with estimates of their lengths."""
         for idx in range(num_groups * GROUP_SIZE):
             num_events = max(1, min(MAX_EVENTS, round(source.lognormvariate(2.7, 1.15))))
             hint = round(num_events * TOKENS_PER_EVENT * source.lognormvariate(0.0, 0.5))
             self.items.append(Item((name, idx), idx // GROUP_SIZE, at, num_events, hint, min_version))
 
     def run(self, until_s: float) -> None:
-        """Play the load."""
+        """Replay the load until a time in seconds."""
         now = 0.0
         while now < until_s:
             self._make_events(now)
@@ -104,7 +104,7 @@
             now += TICK_S
 
     def seconds_of_step(self, name: str, num_wanted: int) -> float:
-        """Return how long after its start a step had as many whole groups as are wanted."""
+        """Return how many seconds after its request a step had ``num_wanted`` complete groups."""
         groups: dict[int, float] = {}
         of_step = [item for item in self.items if item.key[0] == name]
         for item in of_step:
@@ -131,16 +131,16 @@
             if item.num_made >= item.num_events:
                 item.worker, item.whole_at = "", now
 
-    def _places(self, now: float) -> list[WorkerView]:
+    def _worker_views(self, now: float) -> list[WorkerView]:
         slow = self.pace.last_known_slow(now)
         running: defaultdict[str, list[WaitingItem]] = defaultdict(list)
         for item in self._running():
             running[item.worker].append(item.view(now))
-        places = []
+        worker_views = []
         for worker in self.workers:
             views = running[worker.name]
             last_known = self.pace.last_known(worker.name, now)
-            places.append(
+            worker_views.append(
                 WorkerView(
                     worker.name,
                     "s",
@@ -154,13 +154,15 @@
                     num_expected_events=sum(view.num_expected_events for view in views),
                 )
             )
-        return places
+        return worker_views
 
     def _move(self, now: float) -> None:
         longest: dict[str, float] = {}
         for item in self._running() + self._waiting(now):
             longest[item.key[0]] = max(longest.get(item.key[0], 0.0), item.num_events_left(now))
-        estimator = MoveEstimator(self._places(now), [item.view(now) for item in self._waiting(now)], longest)
+        estimator = MoveEstimator(
+            self._worker_views(now), [item.view(now) for item in self._waiting(now)], longest
+        )
         num_moves = 0
         for item in self._running():
             pace = self.pace.seconds_per_event(item.worker, now)
@@ -182,6 +184,6 @@
     def _assign(self, now: float) -> None:
         by_key = {item.key: item for item in self._waiting(now)}
         waiting = sorted((item.view(now) for item in by_key.values()), key=rank)
-        for assignment in assign(waiting, self._places(now)):
+        for assignment in assign(waiting, self._worker_views(now)):
             item = by_key[assignment.key]
             item.worker, item.started_at = assignment.worker_id, now
--- a/tests/unit/test_closing_runs.py
+++ b/tests/unit/test_closing_runs.py
@@ -1,7 +1,8 @@
-"""A text is whole a moment before its run has ended: its connection is still being closed.
+"""A text is complete before its run has ended, while the connection is still being closed.
 
-Seen once in forty drawn days: a node ended with code 1. The last item of a batch was whole, at a slow worker,
-and its connection was being closed as the owner looked for slow runs; of its batch no other item was left.
+Once in forty randomly drawn days, a node exited with code 1 because of this: the owner checked for slow runs
+while the connection of the last item of a batch was being closed. The item was complete, its worker was slow,
+and no other item of its batch was open.
 """
 
 from collections.abc import AsyncIterator, Iterator
@@ -21,13 +22,13 @@
 from worksramp_emulator.simulation.clock import run_simulated
 
 CLOSING_S = 1.0
-#: Slower than the others, yet not by so much that its items are moved.
+#: Slower than the others, but not so much that its items are moved.
 SLOW_FACTOR = 1.4
 
 
 @pytest.fixture
 def slow_closing() -> Iterator[None]:
-    """Have each connection to a worker take a while to close."""
+    """Delay the closing of each connection to a worker."""
     send = FleetPort.send
 
     @asynccontextmanager
@@ -47,7 +48,7 @@
 
 @pytest.mark.usefixtures("slow_closing")
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_whole_text_at_a_slow_worker_is_listed_while_its_connection_closes(seed: int) -> None:
+def test_a_complete_text_at_a_slow_worker_is_listed_while_its_connection_closes(seed: int) -> None:
     async def main() -> None:
         configure_logs("error")
         async with anyio.create_task_group() as group:
@@ -63,7 +64,7 @@
     run_simulated(main, seed)
 
 
-def test_an_item_whose_batch_has_no_other_one_left_can_be_weighed() -> None:
-    place = WorkerView("fast", "s", 6, 0, 0, {"m": 1}, seconds_per_event=0.04)
-    estimator = MoveEstimator([place], [], longest_left={})
+def test_the_gain_of_the_last_open_item_of_a_batch_can_be_estimated() -> None:
+    view = WorkerView("fast", "s", 6, 0, 0, {"m": 1}, seconds_per_event=0.04)
+    estimator = MoveEstimator([view], [], longest_left={})
     assert estimator.gain_s(WaitingItem(("b", 0), "s", "m", 0.0, 10, 1, 1), "slow", 0.2, 10.0) > 1.0
