--- a/tests/unit/schedule_replay.py
+++ b/tests/unit/schedule_replay.py
@@ -38,7 +38,7 @@
     num_made: float = 0.0
     worker: str = ""
     started_at: float = 0.0
-    whole_at: float | None = None
+    completed_at: float | None = None
     avoided: frozenset[str] = frozenset()
 
     def num_events_left(self, now: float) -> float:
@@ -108,7 +108,7 @@
         groups: dict[int, float] = {}
         of_step = [item for item in self.items if item.key[0] == name]
         for item in of_step:
-            ended = float("inf") if item.whole_at is None else item.whole_at
+            ended = float("inf") if item.completed_at is None else item.completed_at
             groups[item.group] = max(groups.get(item.group, 0.0), ended)
         return sorted(groups.values())[num_wanted - 1] - of_step[0].asked_at
 
@@ -117,7 +117,9 @@
 
     def _waiting(self, now: float) -> list[Item]:
         return [
-            item for item in self.items if not item.worker and item.whole_at is None and item.asked_at <= now
+            item
+            for item in self.items
+            if not item.worker and item.completed_at is None and item.asked_at <= now
         ]
 
     def _make_events(self, now: float) -> None:
@@ -129,7 +131,7 @@
             for _ in range(int(item.num_made) - before):
                 self.pace.observe(item.worker, pace * self.source.uniform(*GAP_SPREAD), now)
             if item.num_made >= item.num_events:
-                item.worker, item.whole_at = "", now
+                item.worker, item.completed_at = "", now
 
     def _worker_views(self, now: float) -> list[WorkerView]:
         slow = self.pace.last_known_slow(now)
