--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from worksramp_platform.documents import StoreRecords
 from worksramp_platform.lots import decode_lot
-from worksramp_platform.store import unpack
+from worksramp_platform.store import decode_records
 
 from worksramp.coordination.keyed_replica import Change
 from worksramp.edge.ports import RecordFault, Unreadable, WorkerSeen
@@ -150,7 +150,7 @@
 )
 def test_a_record_whose_key_cannot_be_read_leaves_the_others_at_their_offsets(body: bytes) -> None:
     good: Callable[[bytes], bytes] = lambda key: record(bytes([len(key)]) + key + b"value")  # noqa: E731
-    records = unpack(good(b"a") + record(body) + good(b"b"), 7)
+    records = decode_records(good(b"a") + record(body) + good(b"b"), 7)
     by_key = {found.key: found.offset for found in records}
     assert (by_key["a"], by_key["b"]) == (7, 9)
 
@@ -158,5 +158,5 @@
 @given(st.binary(max_size=64))
 @settings(derandomize=True, max_examples=300)
 def test_any_answer_of_the_store_is_unpacked_without_an_error(data: bytes) -> None:
-    unpack(data, 0)
-    unpack(record(data), 0)
+    decode_records(data, 0)
+    decode_records(record(data), 0)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -6,7 +6,7 @@
 import anyio
 import httpx
 import pytest
-from worksramp_platform.http_calls import CallTimes, HeaderPairs, HttpCalls, Target, WholeHttpAnswer
+from worksramp_platform.http_calls import CallTimeouts, CompleteHttpResponse, HeaderPairs, HttpClient, Target
 from worksramp_platform.store import StoreLog
 
 from tests.platform.standin import StoreApp
@@ -32,27 +32,27 @@
 RECORDS = (KeyedRecord("a", b"1"), KeyedRecord("b/ü", b"\x00\xff"), KeyedRecord("a", b"3"))
 
 
-class AsgiCalls(HttpCalls):
+class AsgiClient(HttpClient):
     """Calls to an application in this process."""
 
     def __init__(self, app: StoreApp) -> None:
         self._transport = httpx.ASGITransport(app=app)
 
     async def call(
-        self, method: str, target: Target, headers: HeaderPairs, body: bytes, times: CallTimes
-    ) -> WholeHttpAnswer:
+        self, method: str, target: Target, headers: HeaderPairs, body: bytes, timeouts: CallTimeouts
+    ) -> CompleteHttpResponse:
         """Return the application's answer."""
         url = f"http://{target.address}{target.path.decode()}"
         async with httpx.AsyncClient(transport=self._transport) as client:
             answer = await client.request(method, url, headers=headers, content=body)
-        return WholeHttpAnswer(answer.status_code, answer.headers.raw, answer.content)
+        return CompleteHttpResponse(answer.status_code, answer.headers.raw, answer.content)
 
 
 def with_store(work: Callable[[StoreLog, StoreApp], Awaitable[None]]) -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
             app = StoreApp(LogStore(random.Random(1), group))
-            await work(StoreLog("store:1", LogLimits(), AsgiCalls(app)), app)
+            await work(StoreLog("store:1", LogLimits(), AsgiClient(app)), app)
 
     anyio.run(main)
 
