--- a/deploy/variants.py
+++ b/deploy/variants.py
@@ -1,9 +1,9 @@
-"""Writes changed copies of a site file: deployments of the same kinds that nobody has shown.
+"""Write variants of a site file: deployments of the same kinds that no given site file describes.
 
     python deploy/variants.py SITE_FILE FOLDER
 
-Each recipe changes the text of the file; a recipe that finds nothing to change says so and writes nothing.
-The copies are for trials and belong outside the repository.
+Each recipe edits the text of the file. If a recipe changes nothing, this is reported and no file is written.
+The variants are for trials and belong outside the repository.
 """
 
 import re
@@ -15,17 +15,17 @@
 
 
 def one_version(text: str) -> str:
-    """All text of an item must come from one version."""
+    """Require that all text of an item comes from one weight version."""
     return text.replace("pure = false", "pure = true")
 
 
 def unsafe_requests(text: str) -> str:
-    """Live requests may not be repeated."""
+    """Forbid repeating live requests."""
     return re.sub(r'(\{ name = "[^"]+", aim_ms = 150\.0,)', r'\1 kind = "unsafe",', text)
 
 
 def more_machines(text: str) -> str:
-    """About 60 machines instead of ten."""
+    """Use about 60 machines instead of ten."""
     return re.sub(
         r"(link_mbps = 1000\.0, zone = \"[^\"]+\"), count = \d+, spare = \d+",
         r"\1, count = 20, spare = 3",
@@ -34,7 +34,7 @@
 
 
 def few_machines(text: str) -> str:
-    """One machine a zone."""
+    """Use one machine per zone."""
     return re.sub(
         r"(link_mbps = 1000\.0, zone = \"[^\"]+\"), count = \d+, spare = \d+",
         r"\1, count = 1, spare = 1",
@@ -43,35 +43,38 @@
 
 
 def sixth_of_machines(text: str) -> str:
-    """A sixth of the machines before the same workers and load: what size alone costs."""
+    """Use a sixth of the front machines for the same workers and load.
 
-    def fewer(match: re.Match[str]) -> str:
+    The variant shows what the size of the deployment alone costs.
+    """
+
+    def reduce_counts(match: re.Match[str]) -> str:
         count, spare = int(match[2]), int(match[3])
         return f"{match[1]}count = {max(1, round(count / 6))}, spare = {max(1, round(spare / 6))}"
 
-    machine = r"^(  \{ class = \"front\", .*?)count = (\d+), spare = (\d+)"
-    return re.sub(machine, fewer, text, flags=re.M)
+    pattern = r"^(  \{ class = \"front\", .*?)count = (\d+), spare = (\d+)"
+    return re.sub(pattern, reduce_counts, text, flags=re.M)
 
 
 def small_slots(text: str) -> str:
-    """Workers run fewer requests at once."""
+    """Give each worker fewer slots."""
     return re.sub(r"slots = 1[26], queue = \d+", "slots = 6, queue = 12", text).replace(
         "batch = 16", "batch = 6"
     )
 
 
 def one_partition(text: str) -> str:
-    """Topics have a single partition."""
+    """Use a single partition per topic."""
     return re.sub(r"^parts = \d+", "parts = 1", text, flags=re.M)
 
 
 def slow_store(text: str) -> str:
-    """Each append takes its partition 20 ms."""
+    """Make each append occupy its partition for 20 ms."""
     return re.sub(r"^append_ms = [\d.]+", "append_ms = 20.0", text, flags=re.M)
 
 
 def long_ahead(text: str) -> str:
-    """Trainers ask ahead, so that several batches of each are open."""
+    """Let trainers request batches ahead, so that several batches of each trainer are open."""
     return text.replace("ahead = 1,", "ahead = 2,")
 
 
@@ -92,12 +95,12 @@
 
 
 def main() -> None:
-    """Write all variants of a site file."""
+    """Write all variants of a site file and copy `wire.json` next to them."""
     site, folder = Path(sys.argv[1]), Path(sys.argv[2])
     folder.mkdir(parents=True, exist_ok=True)
     text = site.read_text(encoding="utf-8")
-    for helper in ("wire.json",):
-        (folder / helper).write_bytes((site.parent / helper).read_bytes())
+    for companion in ("wire.json",):
+        (folder / companion).write_bytes((site.parent / companion).read_bytes())
     for name, recipe in RECIPES.items():
         changed = recipe(text)
         if changed == text:
