--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,4 +1,7 @@
-"""Stand-ins of the platform's store and workers, written from its protocol page, over the emulator."""
+"""Stand-ins for the platform's store and workers.
+
+They follow the protocol page of the platform and use the emulator's log and workers.
+"""
 
 import base64
 import json
@@ -33,7 +36,7 @@
 
 
 def parse_records(data: bytes) -> tuple[KeyedRecord, ...]:
-    """Return records of a keyed topic: length, length of the key, key, value."""
+    """Decode records of a keyed topic: length of the record, length of the key, key, value."""
     records: list[KeyedRecord] = []
     while data:
         (length,) = struct.unpack(">I", data[:4])
@@ -49,7 +52,7 @@
 
 
 class StoreApp:
-    """The store's three calls that the adapter makes, and its refusals."""
+    """The three calls of the store that the adapter uses, and refusals."""
 
     def __init__(self, store: LogStore) -> None:
         self.store = store
@@ -117,7 +120,7 @@
 
 
 class WorkerApp:
-    """One model worker: items as streams of events, reports, and orders of versions."""
+    """A model worker: runs items as streams of events, sends reports and accepts version orders."""
 
     def __init__(self, fleet: BatchFleet, worker_id: str, model: str) -> None:
         self._fleet = fleet
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers get for good and bad input, from one node over the emulator's log and fleet."""
+"""Responses of one node to valid and invalid calls, with the log and the workers of the emulator."""
 
 import json
 import random
@@ -38,7 +38,7 @@
 
 
 class Deployment:
-    """One node, its store and its fleet."""
+    """A node with its store and its workers."""
 
     def __init__(self, store: LogStore, fleet: BatchFleet) -> None:
         self.store = store
@@ -63,17 +63,21 @@
         self.store.do_append(RECORDS.control, (record,), None, None)
 
     def add_worker(self) -> None:
-        beat = {"service": "fleet", "address": "10.128.0.9:8080", "slots": 8, "state": "ready",
+        worker_record = {"service": "fleet", "address": "10.128.0.9:8080", "slots": 8, "state": "ready",
                 "models": [{"name": "m", "version": 1}], "born": 1765000000123}  # fmt: skip
-        self.store.do_append(RECORDS.workers, (KeyedRecord("w-1", json.dumps(beat).encode()),), None, None)
-        event = RECORDS.worker_event(_change("w-1", beat))
+        self.store.do_append(
+            RECORDS.workers, (KeyedRecord("w-1", json.dumps(worker_record).encode()),), None, None
+        )
+        event = RECORDS.worker_event(_change("w-1", worker_record))
         self.fleet.add(FleetWorker(event.entry, 0.005, {"m": 1}))  # type: ignore[union-attr]
 
     def add_scorer(self) -> None:
-        beat = {"service": "desk", "address": "10.128.0.8:8080", "slots": 8, "state": "ready",
+        worker_record = {"service": "desk", "address": "10.128.0.8:8080", "slots": 8, "state": "ready",
                 "born": 1765000000123}  # fmt: skip
-        self.store.do_append(RECORDS.workers, (KeyedRecord("s-1", json.dumps(beat).encode()),), None, None)
-        event = RECORDS.worker_event(_change("s-1", beat))
+        self.store.do_append(
+            RECORDS.workers, (KeyedRecord("s-1", json.dumps(worker_record).encode()),), None, None
+        )
+        event = RECORDS.worker_event(_change("s-1", worker_record))
         self.fleet.add(FleetWorker(event.entry, is_scorer=True))  # type: ignore[union-attr]
 
 
@@ -84,26 +88,26 @@
 
 
 @asynccontextmanager
-async def deployment(is_configured: bool = True) -> Any:
+async def running_deployment(is_configured: bool = True) -> Any:
     configure_logs("error")
     async with anyio.create_task_group() as group:
         source = random.Random(1)
-        found = Deployment(LogStore(source, group), BatchFleet(source, group))
+        deployment = Deployment(LogStore(source, group), BatchFleet(source, group))
         if is_configured:
-            found.configure()
-            found.add_worker()
-        group.start_soon(found.node.run)
+            deployment.configure()
+            deployment.add_worker()
+        group.start_soon(deployment.node.run)
         with anyio.fail_after(30):
-            while is_configured and not found.node.is_ready:
+            while is_configured and not deployment.node.is_ready:
                 await anyio.sleep(0.01)
-        yield found
+        yield deployment
         group.cancel_scope.cancel()
 
 
-def play(work: Callable[[Deployment], Awaitable[None]], is_configured: bool = True) -> None:
+def run_scenario(scenario: Callable[[Deployment], Awaitable[None]], is_configured: bool = True) -> None:
     async def main() -> None:
-        async with deployment(is_configured) as found:
-            await work(found)
+        async with running_deployment(is_configured) as deployment:
+            await scenario(deployment)
 
     anyio.run(main)
 
@@ -117,9 +121,9 @@
 HEADERS = {"X-Worksramp-Attempt-Id": "b1"}
 
 
-def test_a_batch_is_taken_run_listed_read_and_ended() -> None:
-    async def work(found: Deployment) -> None:
-        client = found.client()
+def test_a_batch_is_accepted_run_listed_read_and_ended() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        client = deployment.client()
         for _ in range(2):
             answer = await client.post("/drafts/x", headers=HEADERS, json=lot("i1", "i2"))
             assert answer.status_code == 202
@@ -138,42 +142,42 @@
         for _ in range(2):
             assert (await client.delete("/api/lots/b1")).status_code == 200
 
-    play(work)
+    run_scenario(scenario)
 
 
 def scored_lot(**changes: Any) -> dict[str, Any]:
     call = {"id": "c1", "host": "scores.example", "path": "/scores/1", "body": "q83v"}
-    found = lot("i1", "i2")
-    found["items"][0]["scoringCall"] = {name: value for name, value in (call | changes).items() if value}
-    return found
+    submission = lot("i1", "i2")
+    submission["items"][0]["scoringCall"] = {name: value for name, value in (call | changes).items() if value}
+    return submission
 
 
 def test_an_item_with_a_scoring_call_is_listed_with_the_signature_of_its_answer() -> None:
-    async def work(found: Deployment) -> None:
-        client = found.client()
+    async def scenario(deployment: Deployment) -> None:
+        client = deployment.client()
         assert (await client.post("/drafts/x", headers=HEADERS, json=scored_lot())).status_code == 202
         results: dict[str, dict[str, Any]] = {}
         while len(results) < 2:
             page = (await client.get("/api/lots/b1", headers={"X-Worksramp-Wait-Ms": "1000"})).json()
             results = {result["id"]: result for result in page["results"]}
-            if "i2" in results and not found.fleet.calls:
+            if "i2" in results and not deployment.fleet.calls:
                 assert "i1" not in results
-                found.add_scorer()
-        assert results["i1"]["score"] == found.fleet.calls[0].signature
+                deployment.add_scorer()
+        assert results["i1"]["score"] == deployment.fleet.calls[0].signature
         assert "score" not in results["i2"]
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_a_scoring_call_whose_route_a_newer_configuration_may_hold_is_asked_to_come_back() -> None:
-    async def work(found: Deployment) -> None:
-        found.store.faults.is_down = True
-        while found.node.is_table_fresh():
+def test_an_unrouted_scoring_call_is_to_be_retried_while_the_configuration_is_stale() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        deployment.store.faults.is_down = True
+        while deployment.node.is_table_fresh():
             await anyio.sleep(0.05)
-        answer = await found.client().post("/drafts/x", headers=HEADERS, json=scored_lot(path="/no/1"))
+        answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=scored_lot(path="/no/1"))
         assert (answer.status_code, "retry-after" in answer.headers) == (503, True)
 
-    play(work)
+    run_scenario(scenario)
 
 
 BAD_CALLS: list[tuple[dict[str, Any], int, str, str]] = [
@@ -191,18 +195,18 @@
 
 
 @pytest.mark.parametrize(("changes", "status", "field", "reason"), BAD_CALLS)
-def test_a_malformed_scoring_call_is_refused_by_field_and_reaches_no_worker(
+def test_a_malformed_scoring_call_is_refused_by_field_and_sent_to_no_worker(
     changes: dict[str, Any], status: int, field: str, reason: str
 ) -> None:
-    async def work(found: Deployment) -> None:
-        found.add_scorer()
-        answer = await found.client().post("/drafts/x", headers=HEADERS, json=scored_lot(**changes))
+    async def scenario(deployment: Deployment) -> None:
+        deployment.add_scorer()
+        answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=scored_lot(**changes))
         assert (answer.status_code, answer.json()["field"]) == (status, field)
         assert reason in answer.json()["error"]
-        assert found.fleet.runs == [] and found.fleet.calls == []
-        assert [key for key in found.store.newest_keys(RECORDS.batches) if key.startswith("b/")] == []
+        assert deployment.fleet.runs == [] and deployment.fleet.calls == []
+        assert [key for key in deployment.store.newest_keys(RECORDS.batches) if key.startswith("b/")] == []
 
-    play(work)
+    run_scenario(scenario)
 
 
 BAD_LOTS: list[tuple[Any, str]] = [
@@ -218,20 +222,20 @@
 
 
 @pytest.mark.parametrize(("body", "field"), BAD_LOTS)
-def test_a_malformed_batch_is_refused_by_field_and_runs_nowhere(body: Any, field: str) -> None:
-    async def work(found: Deployment) -> None:
-        answer = await found.client().post("/drafts/x", headers=HEADERS, json=body)
+def test_a_malformed_batch_is_refused_by_field_and_not_run(body: Any, field: str) -> None:
+    async def scenario(deployment: Deployment) -> None:
+        answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=body)
         assert answer.status_code == 400
         assert answer.json()["field"] == field
         assert answer.json()["error"]
-        assert found.fleet.runs == []
+        assert deployment.fleet.runs == []
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_other_bad_input_is_refused_with_its_reason() -> None:
-    async def work(found: Deployment) -> None:
-        client = found.client()
+def test_other_invalid_input_is_refused_with_a_reason() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        client = deployment.client()
         cases = [
             (await client.post("/drafts/x", json=lot("i1")), 400),
             (await client.put("/drafts/x", headers=HEADERS, json=lot("i1")), 405),
@@ -247,22 +251,22 @@
         ]
         assert [answer.status_code for answer, _ in cases] == [status for _, status in cases]
         assert all(answer.json()["error"] for answer, _ in cases)
-        assert found.fleet.runs == []
+        assert deployment.fleet.runs == []
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_length_and_chunks_together_are_refused() -> None:
-    async def work(found: Deployment) -> None:
+def test_content_length_with_transfer_encoding_is_refused() -> None:
+    async def scenario(deployment: Deployment) -> None:
         headers = {**HEADERS, "content-length": "3", "transfer-encoding": "chunked"}
-        answer = await found.client().post("/checks/1", headers=headers, content=b"abc")
+        answer = await deployment.client().post("/checks/1", headers=headers, content=b"abc")
         assert answer.status_code == 400
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_a_sender_that_stops_is_answered_in_time() -> None:
-    async def work(found: Deployment) -> None:
+def test_a_caller_that_stops_sending_gets_a_timeout_response() -> None:
+    async def scenario(deployment: Deployment) -> None:
         sent: list[Message] = []
 
         async def receive() -> Message:
@@ -277,34 +281,34 @@
                         "headers": [(b"host", HOST.encode())]}  # fmt: skip
         receiver: Receive = receive
         sender: Send = send
-        await found.api(scope, receiver, sender)
+        await deployment.api(scope, receiver, sender)
         assert sent[0]["status"] == 408
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_without_a_worker_a_live_request_is_refused_with_a_time_to_come_back() -> None:
-    async def work(found: Deployment) -> None:
-        answer = await found.client().get("/checks/1", headers=HEADERS)
+def test_a_live_request_without_a_worker_is_refused_with_retry_after() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        answer = await deployment.client().get("/checks/1", headers=HEADERS)
         assert answer.status_code == 503
         assert 0 < float(answer.headers["retry-after"]) <= 1
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_a_node_without_a_configuration_is_not_ready_and_says_so() -> None:
-    async def work(found: Deployment) -> None:
-        assert (await found.client(8002).get("/api/readyz")).status_code == 503
-        answer = await found.client().get("/checks/1", headers=HEADERS)
+def test_a_node_without_a_configuration_is_not_ready_and_refuses_requests() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        assert (await deployment.client(8002).get("/api/readyz")).status_code == 503
+        answer = await deployment.client().get("/checks/1", headers=HEADERS)
         assert (answer.status_code, "retry-after" in answer.headers) == (503, True)
 
-    play(work, is_configured=False)
+    run_scenario(scenario, is_configured=False)
 
 
-def test_a_node_that_cannot_reach_the_store_never_says_that_a_batch_is_not_there() -> None:
-    async def work(found: Deployment) -> None:
-        found.store.faults.is_down = True
-        client = found.client()
+def test_a_node_that_cannot_reach_the_store_never_reports_a_batch_as_missing() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        deployment.store.faults.is_down = True
+        client = deployment.client()
         cases = [
             await client.get("/api/lots/b1"),
             await client.get("/api/items/b1", params={"id": "i1"}),
@@ -314,54 +318,54 @@
         answer = await client.post("/drafts/x", headers=HEADERS, json=lot("i1"))
         assert answer.status_code == 503
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_an_append_without_an_answer_is_not_called_a_refusal() -> None:
-    async def work(found: Deployment) -> None:
-        found.store.faults.lost_answers = 1.0
-        found.store.faults.lost_topics = frozenset([RECORDS.batches.topic])
-        answer = await found.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
+def test_an_append_without_a_response_is_not_reported_as_a_refusal() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        deployment.store.faults.lost_answers = 1.0
+        deployment.store.faults.lost_topics = frozenset([RECORDS.batches.topic])
+        answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
         assert answer.status_code == 504
-        found.store.faults.lost_answers = 0.0
-        answer = await found.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
+        deployment.store.faults.lost_answers = 0.0
+        answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
         assert answer.status_code == 202
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_a_batch_whose_items_are_not_known_to_be_in_is_refused_and_never_comes_to_be() -> None:
-    async def work(found: Deployment) -> None:
-        found.store.faults.lost_answers = 1.0
-        answer = await found.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
+def test_a_batch_whose_items_may_not_be_stored_is_refused_and_never_created() -> None:
+    async def scenario(deployment: Deployment) -> None:
+        deployment.store.faults.lost_answers = 1.0
+        answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
         assert (answer.status_code, "retry-after" in answer.headers) == (503, True)
-        found.store.faults.lost_answers = 0.0
-        assert [key for key in found.store.newest_keys(RECORDS.batches) if key.startswith("b/")] == []
-        assert (await found.client().get("/api/lots/b1")).status_code == 404
+        deployment.store.faults.lost_answers = 0.0
+        assert [key for key in deployment.store.newest_keys(RECORDS.batches) if key.startswith("b/")] == []
+        assert (await deployment.client().get("/api/lots/b1")).status_code == 404
 
-    play(work)
+    run_scenario(scenario)
 
 
-def test_a_node_without_a_copy_of_the_log_takes_a_batch_all_the_same() -> None:
+def test_a_node_without_a_replica_of_the_log_accepts_a_batch() -> None:
     async def main() -> None:
         configure_logs("error")
         async with anyio.create_task_group() as group:
             source = random.Random(1)
-            found = Deployment(LogStore(source, group), BatchFleet(source, group))
-            found.node.table.current = decode_table(json.dumps(CONFIGURATION).encode())
-            answer = await found.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
+            deployment = Deployment(LogStore(source, group), BatchFleet(source, group))
+            deployment.node.table.current = decode_table(json.dumps(CONFIGURATION).encode())
+            answer = await deployment.client().post("/drafts/x", headers=HEADERS, json=lot("i1"))
             assert answer.status_code == 202
-            assert found.store.newest_value(RECORDS.batches, "b/b1") is not None
+            assert deployment.store.newest_value(RECORDS.batches, "b/b1") is not None
 
     anyio.run(main)
 
 
 def test_a_stopping_node_closes_connections_and_is_not_ready() -> None:
-    async def work(found: Deployment) -> None:
-        assert (await found.client(8002).get("/api/readyz")).status_code == 200
-        found.node.is_stopping = True
-        assert (await found.client(8002).get("/api/readyz")).status_code == 503
-        answer = await found.client().get("/nowhere/")
+    async def scenario(deployment: Deployment) -> None:
+        assert (await deployment.client(8002).get("/api/readyz")).status_code == 200
+        deployment.node.is_stopping = True
+        assert (await deployment.client(8002).get("/api/readyz")).status_code == 503
+        answer = await deployment.client().get("/nowhere/")
         assert answer.headers["connection"] == "close"
 
-    play(work)
+    run_scenario(scenario)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Records of configuration, versions and workers, in the form of the platform's examples."""
+"""Decoding of configuration, version and worker records in the format of the platform's examples."""
 
 import json
 
@@ -62,7 +62,7 @@
 }
 
 
-def test_a_configuration_becomes_a_table() -> None:
+def test_a_configuration_is_decoded_into_a_table() -> None:
     table = decode_table(json.dumps(CONFIGURATION).encode())
     checks, drafts, _odd = table.routes
     assert (checks.kind, checks.timeout_seconds, checks.objective_seconds) == (
@@ -77,20 +77,20 @@
     assert table.limits.max_body_bytes == 1000
 
 
-def test_a_kind_of_route_that_is_not_known_is_never_repeated() -> None:
+def test_requests_of_an_unknown_route_type_are_never_repeated() -> None:
     odd = decode_table(json.dumps(CONFIGURATION).encode()).routes[2]
     assert odd.kind is RouteKind.NON_IDEMPOTENT
     assert not odd.may_repeat
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
+def test_the_longest_path_prefix_of_the_host_matches() -> None:
     table = decode_table(json.dumps(CONFIGURATION).encode())
-    found = [table.match("shop.example", path) for path in ("/checks/1", "/checks/drafts/1", "/check")]
-    assert [None if route is None else route.name for route in found] == ["checks", "drafts", None]
+    matched = [table.match("shop.example", path) for path in ("/checks/1", "/checks/drafts/1", "/check")]
+    assert [None if route is None else route.name for route in matched] == ["checks", "drafts", None]
     assert table.match("other.example", "/checks/1") is None
 
 
-def test_versions_and_unreadable_records() -> None:
+def test_decoding_of_version_and_unreadable_records() -> None:
     records = StoreRecords()
     assert records.control_event(Change("version/m", b'{"model":"m","version":8}', 3)) == VersionNamed("m", 8)
     assert isinstance(records.control_event(Change("config", b'{"version":1,"routes":[]}', 3)), TableAccepted)
@@ -99,8 +99,8 @@
     assert records.control_event(Change("config", None, 3)) is None
 
 
-def test_workers() -> None:
-    beat = {
+def test_decoding_of_worker_entries() -> None:
+    worker_record = {
         "service": "fleet",
         "address": "10.128.0.9:8080",
         "zone": "z",
@@ -112,9 +112,9 @@
         "seq": 4,
         "born": 1765000000123,
     }
-    entry = decode_worker("i-1", json.dumps(beat).encode())
+    entry = decode_worker("i-1", json.dumps(worker_record).encode())
     assert (entry.is_leaving, entry.num_slots, entry.model_versions) == (True, 16, {"m": 3})
     records = StoreRecords()
-    assert isinstance(records.worker_event(Change("i-1", json.dumps(beat).encode(), 1)), WorkerSeen)
+    assert isinstance(records.worker_event(Change("i-1", json.dumps(worker_record).encode(), 1)), WorkerSeen)
     assert records.worker_event(Change("i-1", None, 2)) == WorkerGone("i-1")
     assert isinstance(records.worker_event(Change("i-1", b"[]", 2)), Unreadable)
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,6 +1,6 @@
-"""Entries of workers that another writer made, or that cannot be read.
+"""Worker entries that are invalid, or that a writer other than a worker has made.
 
-Every node follows the same entries, so that one which ends the follower of one node ends it at all of them,
+All nodes read the same entries. An entry that stops the reader of one node therefore stops it on all nodes,
 and again after each restart.
 """
 
@@ -58,18 +58,18 @@
     return event.fault if isinstance(event, Unreadable) else None
 
 
-def test_a_proper_entry_names_a_worker() -> None:
+def test_a_valid_entry_is_accepted() -> None:
     assert fault_of(entry()) is None
     assert fault_of(entry(state="draining", newField={"is": "passed over"})) is None
 
 
-def test_workers_of_some_deployments_do_not_tell_their_start() -> None:
+def test_an_entry_may_omit_the_start_of_its_worker() -> None:
     event = StoreRecords().worker_event(Change("i-1", without("born"), 1))
     assert isinstance(event, WorkerSeen) and event.entry.started_ms == START_NOT_TOLD
 
 
 @pytest.mark.parametrize("field", ["service", "address", "slots", "state"])
-def test_an_entry_without_a_field_names_no_worker(field: str) -> None:
+def test_an_entry_without_a_required_field_is_refused(field: str) -> None:
     assert fault_of(without(field)) is RecordFault.BAD_VALUE
 
 
@@ -98,25 +98,23 @@
     ],
     ids=lambda value: str(value)[:24],
 )
-def test_an_entry_with_a_value_that_cannot_be_names_no_worker(
-    field: str, value: object, fault: RecordFault
-) -> None:
+def test_an_entry_with_an_invalid_value_is_refused(field: str, value: object, fault: RecordFault) -> None:
     assert fault_of(entry(**{field: value})) is fault
 
 
 @pytest.mark.parametrize("data", [b'{"x":' + TOO_DEEP, b"\xff\xfe", b'{"service":"\xff"}', b"", b"{"])
-def test_bytes_that_cannot_be_read_name_no_worker(data: bytes) -> None:
+def test_undecodable_bytes_are_refused(data: bytes) -> None:
     assert fault_of(data) is RecordFault.MALFORMED
 
 
 @pytest.mark.parametrize("data", [b"[]", b"7", b"null", b"{}"])
-def test_other_shapes_name_no_worker(data: bytes) -> None:
+def test_values_of_other_types_are_refused(data: bytes) -> None:
     assert fault_of(data) is RecordFault.BAD_VALUE
 
 
 @given(st.binary(max_size=200))
 @settings(derandomize=True, max_examples=300)
-def test_any_bytes_are_decoded_without_an_error(data: bytes) -> None:
+def test_decoding_arbitrary_bytes_raises_no_error(data: bytes) -> None:
     records = StoreRecords()
     for decode in (records.worker_event, records.control_event):
         for key in ("i-1", "config", "version/m"):
@@ -125,18 +123,18 @@
 
 @given(st.sampled_from(sorted(ENTRY)), Values)
 @settings(derandomize=True, max_examples=400)
-def test_any_value_of_any_field_is_decoded_without_an_error(field: str, value: object) -> None:
+def test_decoding_any_value_of_any_field_raises_no_error(field: str, value: object) -> None:
     data = json.dumps({**ENTRY, field: value}).encode()
     event = StoreRecords().worker_event(Change("i-1", data, 1))
     assert isinstance(event, WorkerSeen | Unreadable)
 
 
 @pytest.mark.parametrize("key", ["config", "version/m"])
-def test_nesting_without_end_is_an_unreadable_record(key: str) -> None:
+def test_a_too_deeply_nested_record_is_unreadable(key: str) -> None:
     assert isinstance(StoreRecords().control_event(Change(key, b'{"x":' + TOO_DEEP, 1)), Unreadable)
 
 
-def test_a_callers_batch_of_endless_nesting_is_malformed() -> None:
+def test_a_too_deeply_nested_batch_is_malformed() -> None:
     with pytest.raises(ValueError, match="nested"):
         decode_lot(b'{"x":' + TOO_DEEP)
 
@@ -148,15 +146,15 @@
 @pytest.mark.parametrize(
     "body", [b"", b"\x00", b"\x02\xff\xfe value", b"\xffshort"], ids=["empty", "no_key", "no_text", "cut"]
 )
-def test_a_record_whose_key_cannot_be_read_leaves_the_others_at_their_offsets(body: bytes) -> None:
+def test_a_record_with_an_undecodable_key_keeps_the_offsets_of_the_others(body: bytes) -> None:
     good: Callable[[bytes], bytes] = lambda key: record(bytes([len(key)]) + key + b"value")  # noqa: E731
     records = decode_records(good(b"a") + record(body) + good(b"b"), 7)
-    by_key = {found.key: found.offset for found in records}
+    by_key = {decoded.key: decoded.offset for decoded in records}
     assert (by_key["a"], by_key["b"]) == (7, 9)
 
 
 @given(st.binary(max_size=64))
 @settings(derandomize=True, max_examples=300)
-def test_any_answer_of_the_store_is_unpacked_without_an_error(data: bytes) -> None:
+def test_decoding_any_response_of_the_store_raises_no_error(data: bytes) -> None:
     decode_records(data, 0)
     decode_records(record(data), 0)
--- a/tests/platform/test_imports.py
+++ b/tests/platform/test_imports.py
@@ -1,10 +1,11 @@
-"""What a node of the edge role loads: each module is memory on every machine of a fleet."""
+"""Modules that a node of the edge role imports. Each costs memory in every process of a fleet."""
 
 import subprocess
 import sys
 
-#: Roots of what the role must do without: other roles, the emulator, what only command lines or tests need.
-#: (structlog takes rich and httpcore trio where they are installed, as they are not beside a deployed node.)
+#: Prefixes of modules that the role must not import: other roles, the emulator, and what only command lines
+#: or tests need. (structlog imports rich and httpcore imports trio where they are installed, but they are not
+#: installed next to a deployed node.)
 UNWANTED = (
     "click",
     "fire",
@@ -20,14 +21,14 @@
 LIST_MODULES = "import sys, worksramp_platform.__main__; print(*sys.modules)"
 
 
-def test_the_edge_role_loads_no_more_than_it_runs() -> None:
-    found = subprocess.run(
+def test_the_edge_role_imports_no_unwanted_module() -> None:
+    result = subprocess.run(
         [sys.executable, "-c", LIST_MODULES],
         env={"PYTHONPATH": "platform"},
         capture_output=True,
         text=True,
         check=True,
     )
-    modules = found.stdout.split()
+    modules = result.stdout.split()
     assert "worksramp.edge.node" in modules
     assert [name for name in modules if name.startswith(UNWANTED)] == []
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The node's own process on loopback, against stand-ins of the store and of a worker."""
+"""A node in a process of its own on loopback, with stand-ins for the store and a worker."""
 
 import json
 import os
@@ -48,7 +48,7 @@
 
 @dataclass
 class Running:
-    """A node's process and the stand-ins around it."""
+    """A node process and the stand-ins that it calls."""
 
     process: subprocess.Popen[bytes]
     store: LogStore
@@ -86,11 +86,11 @@
         store, fleet = LogStore(source, group), BatchFleet(source, group)
         fleet.add(FleetWorker(WorkerEntry("w-1", "fleet", addresses["worker"], "z", 8), 0.002, {"m": 1}))
         worker = WorkerApp(fleet, "w-1", "m")
-        beat = {"service": "fleet", "address": addresses["worker"], "slots": 8, "state": "ready",
+        worker_record = {"service": "fleet", "address": addresses["worker"], "slots": 8, "state": "ready",
                 "models": [{"name": "m", "version": 1}], "born": 1765000000123}  # fmt: skip
         for partition, key, value in (
             (RECORDS.control, "config", CONFIGURATION),
-            (RECORDS.workers, "w-1", beat),
+            (RECORDS.workers, "w-1", worker_record),
         ):
             store.do_append(partition, (KeyedRecord(key, json.dumps(value).encode()),), None, None)
         stop = anyio.Event()
@@ -110,17 +110,17 @@
             stop.set()
 
 
-def play(tmp_path: Path, work: Callable[[Running], Awaitable[None]]) -> None:
+def run_scenario(tmp_path: Path, scenario: Callable[[Running], Awaitable[None]]) -> None:
     async def main() -> None:
         async with running(tmp_path) as node:
             await node.wait_ready()
-            await work(node)
+            await scenario(node)
 
     anyio.run(main)
 
 
-def test_a_process_takes_a_batch_moves_a_version_and_stops_in_order(tmp_path: Path) -> None:
-    async def work(node: Running) -> None:
+def test_a_process_runs_a_batch_orders_a_version_and_stops_cleanly(tmp_path: Path) -> None:
+    async def scenario(node: Running) -> None:
         async with httpx.AsyncClient(base_url=f"http://{node.front}", headers={"host": HOST}) as client:
             headers = {"X-Worksramp-Attempt-Id": "b1"}
             assert (await client.post("/drafts/x", headers=headers, json=lot("i1", "i2"))).status_code == 202
@@ -137,20 +137,20 @@
             with anyio.fail_after(READY_SECONDS):
                 while node.worker._worker.versions != {"m": 2}:
                     await anyio.sleep(0.05)
-            figures = (await client.get(f"http://{node.metrics}/metrics")).text
-            assert 'worksramp_item_runs_total{outcome="RunFinished"} 2.0' in figures
-            assert "worksramp_lease_epoch 1.0" in figures
+            metrics_text = (await client.get(f"http://{node.metrics}/metrics")).text
+            assert 'worksramp_item_runs_total{outcome="RunFinished"} 2.0' in metrics_text
+            assert "worksramp_lease_epoch 1.0" in metrics_text
             node.process.send_signal(signal.SIGTERM)
             with anyio.fail_after(READY_SECONDS):
                 while node.process.poll() is None:
                     await anyio.sleep(0.05)
             assert node.process.returncode == 0
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_request_with_length_and_chunks_reaches_no_worker(tmp_path: Path) -> None:
-    async def work(node: Running) -> None:
+def test_a_request_with_content_length_and_transfer_encoding_is_sent_to_no_worker(tmp_path: Path) -> None:
+    async def scenario(node: Running) -> None:
         host, _, port = node.front.rpartition(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(
@@ -162,4 +162,4 @@
         assert answer.startswith(b"HTTP/1.1 400")
         assert node.worker.seen == []
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, scenario)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The adapter's store speaks the platform's protocol, and names each outcome as the product does."""
+"""The store client uses the platform's protocol and maps each response to an outcome of the shared log."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -33,7 +33,7 @@
 
 
 class AsgiClient(HttpClient):
-    """Calls to an application in this process."""
+    """HTTP client that calls an ASGI application in this process."""
 
     def __init__(self, app: StoreApp) -> None:
         self._transport = httpx.ASGITransport(app=app)
@@ -41,24 +41,24 @@
     async def call(
         self, method: str, target: Target, headers: HeaderPairs, body: bytes, timeouts: CallTimeouts
     ) -> CompleteHttpResponse:
-        """Return the application's answer."""
+        """Return the response of the application."""
         url = f"http://{target.address}{target.path.decode()}"
         async with httpx.AsyncClient(transport=self._transport) as client:
             answer = await client.request(method, url, headers=headers, content=body)
         return CompleteHttpResponse(answer.status_code, answer.headers.raw, answer.content)
 
 
-def with_store(work: Callable[[StoreLog, StoreApp], Awaitable[None]]) -> None:
+def with_store(scenario: Callable[[StoreLog, StoreApp], Awaitable[None]]) -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
             app = StoreApp(LogStore(random.Random(1), group))
-            await work(StoreLog("store:1", LogLimits(), AsgiClient(app)), app)
+            await scenario(StoreLog("store:1", LogLimits(), AsgiClient(app)), app)
 
     anyio.run(main)
 
 
-def test_records_come_back_as_they_were_appended() -> None:
-    async def work(log: StoreLog, app: StoreApp) -> None:
+def test_records_are_read_as_they_were_appended() -> None:
+    async def scenario(log: StoreLog, app: StoreApp) -> None:
         assert await log.append(PARTITION, RECORDS) == Appended(0, 3)
         answer = await log.read(PARTITION, 1, 0.0)
         assert isinstance(answer, RecordsRead)
@@ -68,11 +68,11 @@
         ]
         assert answer.end == 3
 
-    with_store(work)
+    with_store(scenario)
 
 
-def test_newest_values_come_in_pages() -> None:
-    async def work(log: StoreLog, app: StoreApp) -> None:
+def test_newest_values_are_read_in_pages() -> None:
+    async def scenario(log: StoreLog, app: StoreApp) -> None:
         await log.append(PARTITION, (*RECORDS, KeyedRecord("c", b"4"), KeyedRecord("b/ü", b"")))
         app.page_size = 1
         page = await log.newest(PARTITION, None)
@@ -81,20 +81,20 @@
         assert [(r.key, r.value) for r in page.records] == [("c", b"4")]
         assert page.next_after is None
 
-    with_store(work)
+    with_store(scenario)
 
 
-def test_a_place_that_is_no_longer_kept_is_named() -> None:
-    async def work(log: StoreLog, app: StoreApp) -> None:
+def test_reading_a_removed_offset_returns_the_first_kept_one() -> None:
+    async def scenario(log: StoreLog, app: StoreApp) -> None:
         await log.append(PARTITION, RECORDS)
         app.store.forget_records(PARTITION)
         assert await log.read(PARTITION, 1, 0.0) == RecordsGone(3)
 
-    with_store(work)
+    with_store(scenario)
 
 
-def test_conditions_and_fences() -> None:
-    async def work(log: StoreLog, app: StoreApp) -> None:
+def test_outcomes_of_conditional_and_fenced_appends() -> None:
+    async def scenario(log: StoreLog, app: StoreApp) -> None:
         record = (KeyedRecord("a", b"1"),)
         assert await log.append(PARTITION, record, expected_end=4) == ConditionFailed(0)
         assert await log.append(PARTITION, record, Fence("owner", 2, 0)) == Appended(0, 1)
@@ -102,14 +102,14 @@
         assert await log.append(PARTITION, record, Fence("owner", 2, 5)) == OutOfSequence(1)
         assert await log.append(PARTITION, record, Fence("owner", 1, 9)) == FencedOff()
 
-    with_store(work)
+    with_store(scenario)
 
 
 @pytest.mark.parametrize("status", [429, 503, 507, 403])
-def test_a_refusal_says_that_nothing_was_done(status: int) -> None:
+def test_a_refused_append_is_reported_as_not_done(status: int) -> None:
     outcomes: list[AppendOutcome] = []
 
-    async def work(log: StoreLog, app: StoreApp) -> None:
+    async def scenario(log: StoreLog, app: StoreApp) -> None:
         app.refuse_with = status
         outcomes.append(await log.append(PARTITION, RECORDS))
         with pytest.raises(LogUnavailableError):
@@ -117,13 +117,13 @@
         with pytest.raises(LogUnavailableError):
             await log.newest(PARTITION, None)
 
-    with_store(work)
+    with_store(scenario)
     assert isinstance(outcomes[0], NothingDone)
 
 
-def test_any_other_status_leaves_the_outcome_open() -> None:
-    async def work(log: StoreLog, app: StoreApp) -> None:
+def test_the_outcome_is_open_after_any_other_status() -> None:
+    async def scenario(log: StoreLog, app: StoreApp) -> None:
         app.refuse_with = 500
         assert isinstance(await log.append(PARTITION, RECORDS), OutcomeOpen)
 
-    with_store(work)
+    with_store(scenario)
