--- a/src/worksramp/node/plans.py
+++ b/src/worksramp/node/plans.py
@@ -1,4 +1,4 @@
-"""Which shards the configuration in force calls for, and how each is followed and served."""
+"""Derive the shards of a deployment, and how to follow and serve each, from the configuration in force."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -27,40 +27,48 @@
 
 
 def job_shard(tenant: str, job: str) -> str:
-    """Return the shard, and stream, of a job."""
+    """Return the name of a job's shard, which is also the name of its stream."""
     return f"job.{tenant}.{job}"
 
 
 def ledger_shard(number: int) -> str:
-    """Return the shard, and stream, of a ledger slice."""
+    """Return the name of the shard, and of the stream, of one slice of the idempotency ledger."""
     return f"ledger.{number}"
 
 
 def fleet_shard(fleet: str, cell: int) -> str:
-    """Return the shard, and stream, of one cell of a fleet."""
+    """Return the name of the shard, and of the stream, of one cell of a fleet."""
     return f"fleet.{fleet}.{cell}"
 
 
 class ShardPlanner:
-    """Derives shard plans for one node."""
+    """Derives the shard plans for one node.
+
+    Attributes:
+        background: task group of the node, None until the node runs. Requests of the ledger run in it, so
+            that they continue after their shard is released.
+    """
 
     def __init__(self, node: "Node") -> None:
         self.background: anyio.abc.TaskGroup | None = None
         self._node = node
         self._plans: dict[str, ShardPlan] = {}
-        self._planned_offset = -1
+        self._plans_offset = -1
 
     def plans(self) -> dict[str, ShardPlan]:
-        """Return all shards; none before the configuration is known."""
+        """Return the plans of all shards, by shard; empty until this node's configuration is ready.
+
+        The plans are derived again only after the configuration has changed.
+        """
         if not self._node.configuration.is_ready:
             return {}
         offset = self._node.configuration.fold.next_offset
-        if offset != self._planned_offset:
-            self._planned_offset = offset
-            self._plans = self._derive()
+        if offset != self._plans_offset:
+            self._plans_offset = offset
+            self._plans = self._derive_plans()
         return self._plans
 
-    def _derive(self) -> dict[str, ShardPlan]:
+    def _derive_plans(self) -> dict[str, ShardPlan]:
         plans = [self._ledger_plan(number) for number in range(self._node.settings.num_ledger_shards)]
         for tenant, document in self._node.documents.items():
             for job in document.jobs:
@@ -71,7 +79,7 @@
                 plans += self._fleet_plans(model, group_name(tenant, fleet_name), document.num_fleet_cells)
         return {plan.shard: plan for plan in plans}
 
-    def _replica(self, shard: str, state: Any, snapshot_every: int) -> AnyReplica:
+    def _make_replica(self, shard: str, state: Any, snapshot_every: int) -> AnyReplica:
         instance_id = self._node.identity.instance_id
         return StreamReplica(
             self._node.platform.log, shard, state, instance_id, snapshot_every=snapshot_every
@@ -86,7 +94,7 @@
             return LedgerService(replica, dispatch, self.background, self._node.wall_clock_ms)
 
         return ShardPlan(
-            shard, "", lambda: self._replica(shard, LedgerState(), LEDGER_SNAPSHOT_EVERY), make_service
+            shard, "", lambda: self._make_replica(shard, LedgerState(), LEDGER_SNAPSHOT_EVERY), make_service
         )
 
     def _job_plan(
@@ -113,7 +121,10 @@
             (spec, fleet, document.preference, document.live_reserved_share)
         ).decode()
         return ShardPlan(
-            shard, fingerprint, lambda: self._replica(shard, JobState(), JOB_SNAPSHOT_EVERY), make_service
+            shard,
+            fingerprint,
+            lambda: self._make_replica(shard, JobState(), JOB_SNAPSHOT_EVERY),
+            make_service,
         )
 
     async def _announce_version(self, announcement: AnnounceVersion) -> NodeReply:
@@ -134,18 +145,22 @@
             )
 
         def make_service(replica: AnyReplica) -> FleetService:
-            others = tuple(fleet_shard(fleet, other) for other in range(1, num_cells)) if cell == 0 else ()
+            other_cells = (
+                tuple(fleet_shard(fleet, other_cell) for other_cell in range(1, num_cells))
+                if cell == 0
+                else ()
+            )
             return FleetService(
                 replica,
                 model,
                 machines,
                 platform.engines,
                 platform.weight_store,
-                others,
+                other_cells,
                 cell == 0,
                 self._announce_version,
             )
 
         return ShardPlan(
-            shard, f"{model}/{num_cells}", lambda: self._replica(shard, EmptyState(), 0), make_service
+            shard, f"{model}/{num_cells}", lambda: self._make_replica(shard, EmptyState(), 0), make_service
         )
