--- a/src/worksramp/node/machines.py
+++ b/src/worksramp/node/machines.py
@@ -1,4 +1,4 @@
-"""This node's copy of the machine list and the worker pools made from it."""
+"""Poll the machine list, and maintain this node's worker pools from it."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -14,17 +14,21 @@
 
 POLL_SECONDS = 5.0
 FIRST_POLL_SECONDS = 0.5
-SHARE_OUT_SECONDS = 1.0
+ASSIGN_PERIOD_SECONDS = 1.0
 logger = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class MachineDirectory:
-    """Follows the machine list; while it does not answer, the last copy is used.
+    """Keeps a copy of the machine list, and one worker pool per fleet and application.
+
+    While the machine list is unavailable, the last copy is used.
 
     Attributes:
-        node_id: this process, as it stands among the live nodes.
-        live_nodes: returns the instance ids of live nodes.
+        node_id: instance id of this process, as in `live_nodes`.
+        subset_size: number of workers of a group that a node uses on average.
+        live_nodes: returns the instance ids of the live gateways.
+        machines: the last copy of the list, empty until the list has been read once.
     """
 
     platform: Platform
@@ -36,49 +40,50 @@
     machines: tuple[Machine, ...] = ()
     _pools: dict[tuple[MachineRole, str], WorkerPool] = field(default_factory=dict)
     _group: anyio.abc.TaskGroup | None = None
-    _shared_out: tuple[tuple[Machine, ...], frozenset[str]] = ((), frozenset())
+    _assigned_from: tuple[tuple[Machine, ...], frozenset[str]] = ((), frozenset())
 
     async def run(self) -> None:
-        """Poll the list and keep every pool's reports fresh until cancelled."""
+        """Poll the list, assign workers to the pools and run the pools until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
-            group.start_soon(self._follow_list)
+            group.start_soon(self._poll_list)
             while True:
-                self._share_out()
-                await anyio.sleep(SHARE_OUT_SECONDS)
+                self._assign_workers()
+                await anyio.sleep(ASSIGN_PERIOD_SECONDS)
 
     def pool(self, role: MachineRole, group_name: str) -> WorkerPool | None:
-        """Return the pool of a fleet or application, None if the list names no machine of it."""
+        """Return the pool of a fleet or application, or None if the list has had no machine of it."""
         return self._pools.get((role, group_name))
 
     def node_addresses(self) -> tuple[str, ...]:
-        """Return the addresses of listed nodes."""
+        """Return the addresses of the nodes in the list."""
         return tuple(machine.address for machine in self.machines if machine.role is MachineRole.NODE)
 
     def engines(self, fleet: str) -> tuple[Machine, ...]:
-        """Return all engines of a fleet, whatever this node's subset."""
+        """Return all engines of a fleet, including those outside this node's subset."""
         return tuple(
             machine
             for machine in self.machines
             if machine.role is MachineRole.ENGINE and machine.group == fleet
         )
 
-    async def _follow_list(self) -> None:
+    async def _poll_list(self) -> None:
         while True:
             try:
                 self.machines = await self.platform.machine_list.machines()
             except StepError as error:
                 logger.warning("machine_list_failed", step=error.step, peer=error.peer, reason=error.reason)
-            self._share_out()
-            # Until the list has been read once there is nobody to join and nothing to serve.
+            self._assign_workers()
+            # Poll more often until the list has been read once. Before that, the node has no other nodes to
+            # join and no workers.
             await anyio.sleep(POLL_SECONDS if self.machines else FIRST_POLL_SECONDS)
 
-    def _share_out(self) -> None:
-        """Choose this node's workers anew if the list or the live nodes have changed."""
+    def _assign_workers(self) -> None:
+        """Choose this node's workers again if the list or the live nodes have changed."""
         view = (self.machines, self.live_nodes())
-        if view == self._shared_out:
+        if view == self._assigned_from:
             return
-        self._shared_out = view
+        self._assigned_from = view
         for role, report in self._report_functions().items():
             groups = {machine.group for machine in self.machines if machine.role is role}
             for name in sorted(groups):
