--- a/src/worksramp/node/node.py
+++ b/src/worksramp/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its parts wired together, the calls of other nodes answered, and an orderly stop."""
+"""Wire the parts of one node, handle the requests of other nodes, and stop the node in order."""
 
 import random
 import time
@@ -51,24 +51,24 @@
 SAMPLE_CHECK_SECONDS = 15.0
 CHECK_TIMEOUT_SECONDS = 5.0
 DRAIN_POLL_SECONDS = 0.1
-LEAVE_SPREAD_SECONDS = 0.5
-MILLISECONDS = 1000
+DRAIN_GOSSIP_SECONDS = 0.5
+MILLISECONDS_PER_SECOND = 1000
 
 logger = structlog.get_logger()
 
 
 def unix_time_ms() -> int:
-    """Return the wall clock, in milliseconds since 1970."""
-    return int(time.time() * MILLISECONDS)
+    """Return the Unix time in milliseconds."""
+    return int(time.time() * MILLISECONDS_PER_SECOND)
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this process is.
+    """Identity of one process of a node.
 
     Attributes:
-        instance_id: node id and a part that no other start of the node has.
-        seed: seed of this process's random choices.
+        instance_id: node id, with a suffix that is unique to this start of the node.
+        seed: seed of the random choices of this process.
     """
 
     instance_id: str
@@ -80,10 +80,11 @@
 
     Args:
         settings: checked settings.
-        identity: id of this process.
-        platform: clients of the outside systems.
-        transport: this node's end of the node-to-node network.
-        wall_clock_ms: Unix time; decides only what old rows the ledger forgets.
+        identity: identity of this process.
+        platform: clients of the external systems.
+        transport: sends and receives messages between nodes.
+        wall_clock_ms: returns the Unix time in milliseconds. It is used only to check the age of idempotency
+            keys and to expire old rows of the ledger.
     """
 
     def __init__(
@@ -98,15 +99,15 @@
         self.identity = identity
         self.platform = platform
         self.documents: dict[str, TenantDocument] = {}
-        self.is_leaving = False
+        self.is_draining = False
         self.wall_clock_ms = wall_clock_ms
         self._transport = transport
         self._rng = random.Random(identity.seed)
-        self._num_calls = 0
+        self._num_peer_calls = 0
         self.membership = Membership(self._self_member(), identity.seed)
         self.peers = PeerCaller(transport, self.membership)
         self.configuration = ConfigurationService(
-            platform.log, self.peers, self.membership, VALIDATORS, self._rng, self._take_document
+            platform.log, self.peers, self.membership, VALIDATORS, self._rng, self._apply_document
         )
         self.directory = MachineDirectory(
             platform,
@@ -122,14 +123,14 @@
         self.planner = ShardPlanner(self)
         self.shards = ShardManager(identity.instance_id, self.membership, self.planner.plans)
         self.live = LiveTraffic(platform, self.directory.pool, self._max_live_concurrency)
-        self._sample_budget = RetryBudget()
+        self._sample_retry_budget = RetryBudget()
         self._running_samples: set[str] = set()
         self._scope = anyio.CancelScope()
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests may be taken: the configuration is current and the node is staying."""
-        return self.configuration.is_ready and not self.is_leaving
+        """Whether this node accepts requests: its configuration is ready and it is not draining."""
+        return self.configuration.is_ready and not self.is_draining
 
     async def run(self) -> None:
         """Run until `stop` has finished or the caller cancels."""
@@ -145,15 +146,18 @@
                     group.start_soon(self.shards.run)
 
     async def stop(self) -> None:
-        """Leave in order: announce it, refuse new work, hand shards over, finish what is in flight."""
-        self.is_leaving = True
+        """Drain the node: announce it, refuse new work, release the shards, finish the requests in flight.
+
+        Requests still in flight after ``drain_seconds`` of the settings are aborted.
+        """
+        self.is_draining = True
         self.live.is_leaving = True
         logger.info("node_leaving", node=self.identity.instance_id)
         await self.membership_service.leave()
         await self.shards.release_all()
         with anyio.move_on_after(self.settings.drain_seconds):
-            # Calls and streams are counted by those who serve them; new ones are refused by now.
-            await anyio.sleep(LEAVE_SPREAD_SECONDS)
+            # `num_in_flight` counts every call and stream until its handler ends; new ones are already refused.
+            await anyio.sleep(DRAIN_GOSSIP_SECONDS)
             while self.num_in_flight > 0:
                 await anyio.sleep(DRAIN_POLL_SECONDS)
         logger.info("node_left", node=self.identity.instance_id, num_cut=self.num_in_flight)
@@ -161,32 +165,40 @@
 
     @property
     def num_in_flight(self) -> int:
-        """Live requests, and calls of other nodes, that have not ended."""
-        return self.live.num_in_flight + self._num_calls
+        """Number of live requests and requests of other nodes that have not ended."""
+        return self.live.num_in_flight + self._num_peer_calls
 
     @property
     def owned_shards(self) -> dict[str, dict[str, int]]:
-        """Figures of the shards that this node serves."""
+        """Metrics of the shards that this node serves, by shard."""
         return {shard: service.figures() for shard, service in self.shards.services().items()}
 
     async def handle_call(self, payload: bytes) -> bytes:
-        """Answer one call of another node."""
+        """Handle one encoded request of another node.
+
+        Returns:
+            The encoded reply. A request that cannot be decoded or that fails gets `CallFailed`.
+        """
         try:
             request = decode_request(payload)
         except msgspec.DecodeError as error:
             reply: NodeReply = CallFailed("node.decode", self.settings.node_id, str(error), True)
             return encode_message(reply)
-        self._num_calls += 1
+        self._num_peer_calls += 1
         try:
-            return encode_message(await self.answer(request))
+            return encode_message(await self.handle_request(request))
         except StepError as error:
             is_not_started = isinstance(error, NotStartedError)
             return encode_message(CallFailed(error.step, error.peer, error.reason, is_not_started))
         finally:
-            self._num_calls -= 1
+            self._num_peer_calls -= 1
 
-    async def answer(self, request: NodeRequest) -> NodeReply:
-        """Answer one request, from this node or another."""
+    async def handle_request(self, request: NodeRequest) -> NodeReply:
+        """Handle one request, from this node or another, and return the reply.
+
+        Raises:
+            StepError: the request failed.
+        """
         match request:
             case PushConfiguration():
                 return self.configuration.take_push(request)
@@ -195,26 +207,31 @@
             case CheckSample():
                 return SampleChecked(request.request_id in self._running_samples)
             case RunSample():
-                return await self._run_sample_here(request)
+                return await self._run_sample_locally(request)
             case ExecuteOnce() | FetchBatch() | DescribeShard() | AnnounceVersion():
                 return await self.shards.handle(request.shard, request)
 
     async def call_owner(self, request: ShardRequest, seconds: float) -> NodeReply:
-        """Have the owner of a shard answer a request; this node itself if it is the owner."""
+        """Send a request to the owner of its shard, which may be this node, and return the reply.
+
+        Raises:
+            NotStartedError: no owner was found, and no node started the request.
+            InterruptedStepError: an owner may have started the request.
+        """
         return await self.peers.call_owner(request.shard, request, seconds)
 
     async def run_sample(self, request: RunSample) -> SampleReply:
-        """Generate a sample on some live node, this one included, in turn.
+        """Generate a sample on a live node chosen at random, possibly this one.
 
         Raises:
-            StepError: the sample failed; it may be tried again.
+            StepError: the sample failed; it may be retried.
         """
-        others = [member for member in self.peers.live_peers() if member.status.name == "ALIVE"]
-        choice = self._rng.randrange(len(others) + 1)
-        if choice == len(others):
-            reply = await self._run_sample_here(request)
+        alive_peers = [member for member in self.peers.live_peers() if member.status.name == "ALIVE"]
+        choice = self._rng.randrange(len(alive_peers) + 1)
+        if choice == len(alive_peers):
+            reply = await self._run_sample_locally(request)
         else:
-            reply = await self._run_sample_there(others[choice].address, request)
+            reply = await self._run_sample_on_peer(alive_peers[choice].address, request)
         if isinstance(reply, SampleReply):
             return reply
         if isinstance(reply, CallFailed):
@@ -222,11 +239,11 @@
             raise kind(reply.step, reply.peer, reply.reason)
         raise StepError("node.run_sample", self.settings.node_id, f"unexpected {type(reply).__name__}")
 
-    async def _run_sample_there(self, address: str, request: RunSample) -> NodeReply:
-        """Have another node generate a sample, and ask now and then whether it still does.
+    async def _run_sample_on_peer(self, address: str, request: RunSample) -> NodeReply:
+        """Generate a sample on another node, and check periodically that the node still runs it.
 
-        A reply lost on a connection that looks whole would otherwise hold the sample's place for as
-        long as the longest sample may take.
+        Without the check, a reply that is lost on a connection that appears healthy would keep the sample in
+        flight until `SAMPLE_TIMEOUT_SECONDS`, which allows for the longest sample.
 
         Raises:
             StepError: the call failed, or the node no longer runs the sample.
@@ -248,11 +265,14 @@
             group.cancel_scope.cancel()
         if replies:
             return replies[0]
-        lost = InterruptedStepError("node.run_sample", address, "the node no longer runs the sample")
-        raise errors[0] if errors else lost
+        not_running = InterruptedStepError("node.run_sample", address, "the node no longer runs the sample")
+        raise errors[0] if errors else not_running
 
     async def _is_sample_running(self, address: str, request_id: str) -> bool:
-        """Wait for the time of a check and make it; a check without an answer counts as a no."""
+        """Wait `SAMPLE_CHECK_SECONDS`, then return whether another node runs a sample.
+
+        A check that fails counts as not running.
+        """
         await anyio.sleep(SAMPLE_CHECK_SECONDS)
         try:
             reply = await self.peers.call(address, CheckSample(request_id), CHECK_TIMEOUT_SECONDS)
@@ -261,20 +281,27 @@
         return isinstance(reply, SampleChecked) and reply.is_running
 
     async def dispatch_application(self, request: ExecuteOnce) -> ApplicationReply:
-        """Send a keyed request to one application worker; another only if the first did not begin."""
+        """Run a keyed request on one application worker, or on another if the first did not start it.
+
+        Raises:
+            NotStartedError: the request was not run.
+            InterruptedStepError: the request may have been run.
+        """
         call = ApplicationRequest(request.key, request.method, request.path, request.body)
         return await self.live.call_application(request.application, call, is_safe=False)
 
-    async def _run_sample_here(self, request: RunSample) -> NodeReply:
-        if self.is_leaving:
-            return CallFailed("node.run_sample", self.settings.node_id, "leaving", is_not_started=True)
+    async def _run_sample_locally(self, request: RunSample) -> NodeReply:
+        if self.is_draining:
+            return CallFailed(
+                "node.run_sample", self.settings.node_id, "the node is draining", is_not_started=True
+            )
         pool = self.directory.pool(MachineRole.ENGINE, request.fleet)
         if pool is None:
             reason = f"no engine of fleet {request.fleet!r} is listed"
             return CallFailed("node.run_sample", self.settings.node_id, reason, is_not_started=True)
         self._running_samples.add(request.request_id)
         try:
-            return await run_sample(request, pool, self.platform.engines, self._sample_budget)
+            return await run_sample(request, pool, self.platform.engines, self._sample_retry_budget)
         finally:
             self._running_samples.discard(request.request_id)
 
@@ -286,7 +313,7 @@
             await self.configuration.wait_changed()
             await self.configuration.append_snapshot_if_due()
 
-    def _take_document(self, configuration: TenantConfiguration) -> None:
+    def _apply_document(self, configuration: TenantConfiguration) -> None:
         self.documents[configuration.tenant] = decode_document(configuration.document)
 
     def _max_live_concurrency(self, tenant: str) -> int:
