--- a/src/worksramp/node/main.py
+++ b/src/worksramp/node/main.py
@@ -1,4 +1,4 @@
-"""Process of one node: HTTP server, signals and the node itself."""
+"""Run one node as a process: the node, its HTTP server and its signal handlers."""
 
 import os
 import signal
@@ -22,19 +22,19 @@
 MAX_KEEPALIVE_CONNECTIONS = 500
 KEEPALIVE_SECONDS = 30.0
 HTTP_SHUTDOWN_SECONDS = 10.0
-INSTANCE_SUFFIX_CHARACTERS = 8
+INSTANCE_SUFFIX_LENGTH = 8
 
 logger = structlog.get_logger()
 
 
 def make_identity(node_id: str) -> Identity:
-    """Return the identity of this start of a node."""
-    suffix = uuid.uuid4().hex[:INSTANCE_SUFFIX_CHARACTERS]
+    """Return a new identity for this process, with a random suffix and a random seed."""
+    suffix = uuid.uuid4().hex[:INSTANCE_SUFFIX_LENGTH]
     return Identity(f"{node_id}.{suffix}", int.from_bytes(os.urandom(8), "big"))
 
 
 async def run_node(settings: NodeSettings) -> None:
-    """Run a node until it is told to stop by SIGTERM, SIGINT or an operator."""
+    """Run a node until it is stopped by SIGTERM, SIGINT or an operator's drain request."""
     configure_logs(settings.log_level, node=settings.node_id, zone=settings.zone)
     limits = httpx.Limits(
         max_connections=MAX_CONNECTIONS,
@@ -55,33 +55,36 @@
     config.graceful_timeout = HTTP_SHUTDOWN_SECONDS
     config.accesslog = None
     config.errorlog = None
-    stopped, http_ended = anyio.Event(), anyio.Event()
+    stop_http, http_ended = anyio.Event(), anyio.Event()
     async with anyio.create_task_group() as group:
         application = make_application(node, group)
         group.start_soon(_stop_on_signal, node, group.cancel_scope)
 
         async def serve_http() -> None:
-            await serve(application, config, shutdown_trigger=stopped.wait)  # type: ignore[arg-type]
+            await serve(application, config, shutdown_trigger=stop_http.wait)  # type: ignore[arg-type]
             http_ended.set()
 
         group.start_soon(serve_http)
         logger.info("node_started", instance=node.identity.instance_id, listen=node.settings.listen)
         await node.run()
-        stopped.set()
-        # An answer whose handler has ended may still be on its way out, a large batch above all.
+        stop_http.set()
+        # A response may still be in transmission after its handler has ended, in particular a large batch.
         await http_ended.wait()
         group.cancel_scope.cancel()
 
 
 async def _stop_on_signal(node: Node, scope: anyio.CancelScope) -> None:
-    """Stop in order at the first signal; at the second, at once, saying what was cut."""
+    """Drain the node at the first signal.
+
+    At the second signal, stop at once and log the number of aborted requests.
+    """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-        is_stopping = False
+        is_draining = False
         async with anyio.create_task_group() as group:
             async for number in signals:
-                if is_stopping:
+                if is_draining:
                     logger.warning("node_stopped_at_once", signal=number.name, num_cut=node.num_in_flight)
                     scope.cancel()
                     return
-                is_stopping = True
+                is_draining = True
                 group.start_soon(node.stop)
