--- a/src/worksramp/node/node.py
+++ b/src/worksramp/node/node.py
@@ -156,7 +156,8 @@
         await self.membership_service.leave()
         await self.shards.release_all()
         with anyio.move_on_after(self.settings.drain_seconds):
-            # `num_in_flight` counts every call and stream until its handler ends; new ones are already refused.
+            # `num_in_flight` counts every call and stream until its handler ends.
+            # New ones are already refused.
             await anyio.sleep(DRAIN_GOSSIP_SECONDS)
             while self.num_in_flight > 0:
                 await anyio.sleep(DRAIN_POLL_SECONDS)
