--- a/src/worksramp/gateway/callers.py
+++ b/src/worksramp/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Callers' API: completions in the OpenAI shape, and calls to application workers."""
+"""Callers' API: completions in the OpenAI format, and calls to application workers."""
 
 import itertools
 import time
@@ -47,7 +47,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """Body of a completion request; fields of the OpenAI API that do not apply are ignored."""
+    """Body of a completion request; fields of the OpenAI API that are not supported are ignored."""
 
     model: str
     prompt: str
@@ -65,10 +65,10 @@
 
 
 class Completion(msgspec.Struct):
-    """A completion, or one piece of a streamed one.
+    """A completion, or one event of a streamed completion.
 
     Attributes:
-        weight_versions: which weight versions produced which tokens.
+        weight_versions: the token ranges of the completion, each with the weight version that generated it.
     """
 
     id: str
@@ -80,14 +80,14 @@
 
 
 class CallersApi:
-    """Handlers of the callers' API of one node."""
+    """HTTP handlers of the callers' API of one node."""
 
     def __init__(self, backend: GatewayBackend) -> None:
         self._backend = backend
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of this API."""
         methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
         path = "/v1/applications/{application}/{path:path}"
         return [
@@ -105,7 +105,7 @@
         if document is None or body.model not in document.models:
             raise RequestError(NOT_FOUND, ErrorBody("not_found", f"no model {body.model!r}", "model"))
         generate = GenerateRequest(
-            request_id=f"{self._backend.membership.self_member.instance_id}-{next(self._numbers)}",
+            request_id=f"{self._backend.membership.self_member.instance_id}-{next(self._request_numbers)}",
             model=body.model,
             prompt=body.prompt,
             max_tokens=body.max_tokens,
@@ -116,7 +116,7 @@
         chunks = self._backend.live.complete(key.tenant, fleet, generate, seconds)
         if body.stream:
             return await _stream_response(generate, chunks)
-        return await _whole_response(generate, chunks)
+        return await _collected_response(generate, chunks)
 
     async def _call_application(self, request: Request) -> Response:
         key = authorize(self._backend, request, KeyRole.CALLER)
@@ -133,7 +133,7 @@
                 key.tenant, raw_key, application, request.method, path, body, seconds
             )
             return _outcome_response(await self._execute(execute))
-        call = ApplicationRequest(f"call-{next(self._numbers)}", request.method, path, body)
+        call = ApplicationRequest(f"call-{next(self._request_numbers)}", request.method, path, body)
         is_safe = request.method in SAFE_METHODS
         reply = await self._backend.live.call_safe(key.tenant, application, call, is_safe, seconds)
         return Response(reply.body, reply.status, media_type="application/json")
@@ -141,14 +141,14 @@
     def _execute_once(
         self, tenant: str, raw_key: str, application: str, method: str, path: str, body: bytes, seconds: float
     ) -> ExecuteOnce:
-        made_at_ms = key_time_ms(raw_key)
-        if made_at_ms is None:
+        created_at_ms = key_time_ms(raw_key)
+        if created_at_ms is None:
             raise invalid(KEY_HEADER, "must be a UUID of version 7 (RFC 9562)")
         now_ms = self._backend.wall_clock_ms()
-        if made_at_ms > now_ms + MAX_CLOCK_SKEW_MS:
-            raise invalid(KEY_HEADER, "its time stamp lies in the future")
-        if made_at_ms < now_ms - LEDGER_RETENTION_MS:
-            raise invalid(KEY_HEADER, "is older than outcomes are remembered; ask a person what became of it")
+        if created_at_ms > now_ms + MAX_CLOCK_SKEW_MS:
+            raise invalid(KEY_HEADER, "its timestamp is in the future")
+        if created_at_ms < now_ms - LEDGER_RETENTION_MS:
+            raise invalid(KEY_HEADER, "is older than outcomes are retained; ask an operator whether it ran")
         canonical = canonical_key(tenant, raw_key)
         shard = f"ledger.{shard_of(canonical, self._backend.settings.num_ledger_shards)}"
         return ExecuteOnce(shard, canonical, application, method, path, body, seconds)
@@ -162,20 +162,20 @@
 
 
 def _outcome_response(outcome: ExecutionOutcome) -> Response:
-    """Return the answer that stands for a keyed request's outcome."""
+    """Return the HTTP response for the outcome of a keyed request."""
     match outcome:
         case Completed(status=status, body=body):
             return Response(body, status, media_type="application/json")
         case NotRun(step=step, peer=peer, reason=reason, retry_after_seconds=seconds):
-            body_struct = ErrorBody("not_run", reason, "", step, peer, seconds)
-            return json_response(body_struct, UNAVAILABLE, seconds)
+            error_body = ErrorBody("not_run", reason, "", step, peer, seconds)
+            return json_response(error_body, UNAVAILABLE, seconds)
         case OutcomeUnknown(step=step, peer=peer, reason=reason):
             return json_response(ErrorBody("unknown", reason, "", step, peer), BAD_GATEWAY)
         case KeyReused(reason=reason):
             return json_response(ErrorBody("conflict", reason, KEY_HEADER), CONFLICT)
 
 
-async def _whole_response(
+async def _collected_response(
     request: GenerateRequest, chunks: AsyncGenerator[GenerationChunk, None]
 ) -> Response:
     recorder = SegmentRecorder()
@@ -190,16 +190,19 @@
 async def _stream_response(
     request: GenerateRequest, chunks: AsyncGenerator[GenerationChunk, None]
 ) -> Response:
-    """Stream a completion; a failure before the first token is an ordinary error answer."""
+    """Return a response that streams a completion.
+
+    A failure before the first chunk is raised here, so that it gets an ordinary error response.
+    """
     first = await anext(chunks, None)
 
     async def events() -> AsyncIterator[dict[str, str]]:
         async with aclosing(chunks) as stream:
             if first is not None:
-                yield {"data": _piece(request, first)}
+                yield {"data": _encode_event(request, first)}
             try:
                 async for chunk in stream:
-                    yield {"data": _piece(request, chunk)}
+                    yield {"data": _encode_event(request, chunk)}
             except StepError as error:
                 _, body = step_error_body(error)
                 yield {"event": "error", "data": msgspec.json.encode(body).decode()}
@@ -209,7 +212,7 @@
     return EventSourceResponse(events(), ping=3600)
 
 
-def _piece(request: GenerateRequest, chunk: GenerationChunk) -> str:
+def _encode_event(request: GenerateRequest, chunk: GenerationChunk) -> str:
     choice = Choice(0, "".join(chunk.tokens), "stop" if chunk.is_final else None)
     segment = SegmentReply(chunk.weight_version, chunk.start, chunk.start + len(chunk.tokens))
     return msgspec.json.encode(_completion(request, choice, (segment,))).decode()
