--- a/src/worksramp/gateway/callers.py
+++ b/src/worksramp/gateway/callers.py
@@ -135,7 +135,7 @@
             return _outcome_response(await self._execute(execute))
         call = ApplicationRequest(f"call-{next(self._request_numbers)}", request.method, path, body)
         is_safe = request.method in SAFE_METHODS
-        reply = await self._backend.live.call_safe(key.tenant, application, call, is_safe, seconds)
+        reply = await self._backend.live.call_without_key(key.tenant, application, call, is_safe, seconds)
         return Response(reply.body, reply.status, media_type="application/json")
 
     def _execute_once(
@@ -154,7 +154,7 @@
         return ExecuteOnce(shard, canonical, application, method, path, body, seconds)
 
     async def _execute(self, request: ExecuteOnce) -> ExecutionOutcome:
-        with self._backend.live.counted():
+        with self._backend.live.track_request():
             reply = await self._backend.call_owner(request, request.deadline_seconds + CALL_MARGIN_SECONDS)
         if not isinstance(reply, ExecuteReply):
             raise StepError("gateway.execute", request.shard, f"unexpected {type(reply).__name__}")
--- a/src/worksramp/gateway/live.py
+++ b/src/worksramp/gateway/live.py
@@ -25,21 +25,27 @@
 )
 from worksramp.routing.pool import WorkerPool
 
-PoolFunction = Callable[[MachineRole, str], WorkerPool | None]
-MAX_APPLICATION_TRIES = 3
+PoolLookup = Callable[[MachineRole, str], WorkerPool | None]
+MAX_APPLICATION_ATTEMPTS = 3
 
 
 class LiveTraffic:
-    """What a gateway does for callers.
+    """Runs live requests on engines and application workers, within the limits of their tenants.
 
     Args:
-        pool: finds the workers of a fleet or application.
-        max_concurrency: ceiling of a tenant's adaptive limit, from the configuration in force.
+        platform: clients of the external systems, among them the engines and application workers.
+        pool: returns the worker pool of a fleet or application, None if there is none.
+        max_concurrency: returns the ceiling of a tenant's adaptive concurrency limit, from the configuration
+            in force.
+
+    Attributes:
+        num_in_flight: number of requests that have not ended.
+        is_draining: whether new requests are refused.
     """
 
-    def __init__(self, platform: Platform, pool: PoolFunction, max_concurrency: Callable[[str], int]) -> None:
+    def __init__(self, platform: Platform, pool: PoolLookup, max_concurrency: Callable[[str], int]) -> None:
         self.num_in_flight = 0
-        self.is_leaving = False
+        self.is_draining = False
         self._platform = platform
         self._pool = pool
         self._max_concurrency = max_concurrency
@@ -49,11 +55,12 @@
     async def complete(
         self, tenant: str, fleet: str, request: GenerateRequest, deadline_seconds: float
     ) -> AsyncGenerator[GenerationChunk, None]:
-        """Stream a completion.
+        """Yield the chunks of a completion, moving to another engine when one fails.
 
         Raises:
-            NotStartedError: given up before any token, with a time to come back.
-            InterruptedStepError: given up in mid-stream.
+            NotStartedError: the request was not admitted, or no engine started it; has a retry delay.
+            InterruptedStepError: an engine may have started the request and no retry is left, or the deadline
+                passed.
         """
         deadline = anyio.current_time() + deadline_seconds
         with self._admitted(tenant, deadline_seconds):
@@ -73,11 +80,13 @@
     ) -> ApplicationReply:
         """Run a request on an application worker.
 
-        An unsafe request is tried elsewhere only if the worker certainly did not begin.
+        Args:
+            is_safe: whether the request may run more than once. If not, it is retried on another worker only
+                if the previous worker certainly did not start it.
 
         Raises:
-            NotStartedError: it was not run.
-            InterruptedStepError: it may have been run.
+            NotStartedError: no worker ran the request.
+            InterruptedStepError: a worker may have run the request.
         """
         pool = self._require_pool(MachineRole.APPLICATION, application)
         budget = self._budget(application)
@@ -86,9 +95,9 @@
         failure: StepError = NotStartedError(
             "route.application", application, "no worker may be used now", DEFAULT_RETRY_AFTER_SECONDS
         )
-        has_begun = False
-        for num_tries in range(MAX_APPLICATION_TRIES):
-            if num_tries > 0 and not budget.try_spend():
+        may_have_started = False
+        for num_attempts in range(MAX_APPLICATION_ATTEMPTS):
+            if num_attempts > 0 and not budget.try_spend():
                 break
             worker = pool.choose(RouteRequest(zone=pool.zone, excluded=excluded))
             if worker is None:
@@ -98,13 +107,13 @@
                     return await self._platform.applications.call(worker.machine.address, request)
             except StepError as error:
                 failure = error
-                has_begun = has_begun or not isinstance(error, NotStartedError)
+                may_have_started = may_have_started or not isinstance(error, NotStartedError)
                 excluded |= {worker.machine.machine_id}
                 if not is_safe and not isinstance(error, NotStartedError):
                     break
-        raise final_failure(failure, has_begun)
+        raise final_failure(failure, may_have_started)
 
-    async def call_safe(
+    async def call_without_key(
         self,
         tenant: str,
         application: str,
@@ -112,7 +121,12 @@
         is_safe: bool,
         deadline_seconds: float,
     ) -> ApplicationReply:
-        """Run a request without a key, within its deadline."""
+        """Run a request that has no idempotency key, within its deadline.
+
+        Raises:
+            NotStartedError: the request was not admitted, or no worker ran it.
+            InterruptedStepError: a worker may have run the request, or the deadline passed.
+        """
         with self._admitted(tenant, deadline_seconds):
             try:
                 with anyio.fail_after(deadline_seconds):
@@ -121,15 +135,15 @@
                 raise InterruptedStepError("route.application", application, "the deadline passed") from error
 
     @contextmanager
-    def counted(self) -> Iterator[None]:
-        """Count a request in flight, so that a planned stop waits for it.
+    def track_request(self) -> Iterator[None]:
+        """Count a request as in flight, so that a drain waits for it.
 
         Raises:
-            NotStartedError: this node is leaving and takes nothing new.
+            NotStartedError: this node is draining and accepts no new requests.
         """
-        if self.is_leaving:
+        if self.is_draining:
             raise NotStartedError(
-                "gateway.admit", "this node", "the node is leaving", DEFAULT_RETRY_AFTER_SECONDS
+                "gateway.admit", "this node", "the node is draining", DEFAULT_RETRY_AFTER_SECONDS
             )
         self.num_in_flight += 1
         try:
@@ -139,7 +153,7 @@
 
     @contextmanager
     def _admitted(self, tenant: str, deadline_seconds: float) -> Iterator[None]:
-        with self.counted():
+        with self.track_request():
             limit = self._limit(tenant)
             decision = limit.admit(deadline_seconds)
             if isinstance(decision, Rejected):
@@ -150,7 +164,7 @@
                 yield
                 is_success = True
             except GeneratorExit:
-                # The caller hung up: no sign that the back ends are overloaded.
+                # The caller disconnected, which is no sign that the workers are overloaded.
                 is_success = True
                 raise
             finally:
@@ -179,9 +193,13 @@
 async def _next_before(
     deadline: float, chunks: AsyncGenerator[GenerationChunk, None], fleet: str
 ) -> GenerationChunk | None:
-    """Return the next chunk, None at the end.
+    """Return the next chunk, or None at the end of the stream.
+
+    This is a separate function because a cancel scope must not span a ``yield`` of the calling generator.
 
-    The cancel scope must not span a yield of the caller's generator, hence this helper.
+    Raises:
+        InterruptedStepError: the deadline passed.
+        StepError: the stream failed.
     """
     try:
         with anyio.fail_after(max(0.0, deadline - anyio.current_time())):
--- a/src/worksramp/gateway/trainers.py
+++ b/src/worksramp/gateway/trainers.py
@@ -51,7 +51,7 @@
         cursor = read_int(request.path_params["cursor"], "cursor")
         trainer_version = read_int(request.query_params.get("trainer_version"), "trainer_version")
         fetch = FetchBatch(shard, cursor, trainer_version)
-        with self._backend.live.counted():
+        with self._backend.live.track_request():
             reply = await self._backend.call_owner(fetch, FETCH_TIMEOUT_SECONDS)
         match reply:
             case BatchReply(body=body):
--- a/src/worksramp/node/node.py
+++ b/src/worksramp/node/node.py
@@ -151,7 +151,7 @@
         Requests still in flight after ``drain_seconds`` of the settings are aborted.
         """
         self.is_draining = True
-        self.live.is_leaving = True
+        self.live.is_draining = True
         logger.info("node_leaving", node=self.identity.instance_id)
         await self.membership_service.leave()
         await self.shards.release_all()
