--- a/src/worksramp/gateway/operators.py
+++ b/src/worksramp/gateway/operators.py
@@ -1,4 +1,4 @@
-"""Operators' API: configuration, prompt sets, status, and an orderly stop."""
+"""Operators' API: configuration, prompt sets, status, readiness, metrics and draining."""
 
 import anyio.abc
 import msgspec
@@ -41,7 +41,12 @@
 
 
 class PublishBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A configuration change."""
+    """Body of a request to publish a configuration change.
+
+    Attributes:
+        change_id: identifies the change; chosen by the operator.
+        expected_revision: revision of the tenant's configuration that the change replaces; 0 for the first.
+    """
 
     change_id: str
     expected_revision: Natural
@@ -50,7 +55,7 @@
 
 
 class PromptsBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A prompt set to store."""
+    """Body of a request to store a prompt set."""
 
     prompts: tuple[str, ...]
 
@@ -63,7 +68,7 @@
 
 
 class ConfigurationReply(msgspec.Struct):
-    """What is in force for the tenant on the node that answers."""
+    """Configuration that is in force for the tenant on the responding node."""
 
     revision: int
     offset: int
@@ -71,7 +76,7 @@
 
 
 class MemberReply(msgspec.Struct):
-    """One node as the answering node sees it."""
+    """State of one node, in the membership view of the responding node."""
 
     instance_id: str
     address: str
@@ -80,7 +85,12 @@
 
 
 class StatusReply(msgspec.Struct):
-    """State of the node that answers."""
+    """State of the responding node.
+
+    Attributes:
+        configuration_offset: offset of the next configuration record that the node will apply.
+        shards: metrics of the shards that the node serves, by shard.
+    """
 
     instance_id: str
     is_ready: bool
@@ -91,10 +101,10 @@
 
 
 class OperatorsApi:
-    """Handlers of the operators' API of one node.
+    """HTTP handlers of the operators' API of one node.
 
     Args:
-        background: runs the orderly stop after its request was answered.
+        background: task group in which the drain continues after its request has got a response.
     """
 
     def __init__(self, backend: GatewayBackend, background: anyio.abc.TaskGroup) -> None:
@@ -102,7 +112,7 @@
         self._background = background
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of this API."""
         return [
             Route("/v1/configuration", answering(self._read), methods=["GET"]),
             Route("/v1/configuration", answering(self._publish), methods=["PUT"]),
@@ -128,7 +138,7 @@
         body = await read_struct(request, PublishBody)
         if not 1 <= len(body.change_id) <= MAX_CHANGE_ID_CHARACTERS:
             raise invalid("change_id", f"must have 1 to {MAX_CHANGE_ID_CHARACTERS} characters")
-        self._check_schema(body)
+        self._check_change(body)
         change = Publish(
             f"{key.tenant}/{body.change_id}",
             key.tenant,
@@ -139,11 +149,17 @@
         verdict = await self._backend.configuration.publish(change, PUBLISH_TIMEOUT_SECONDS)
         return _verdict_response(verdict)
 
-    def _check_schema(self, body: PublishBody) -> None:
-        """Refuse what could only be void, and what an older node could not judge."""
-        oldest = min(member.max_schema_version for member in self._backend.membership.live_members())
-        if not 1 <= body.schema_version <= oldest:
-            raise invalid("schema_version", f"all live nodes know versions 1 to {oldest}")
+    def _check_change(self, body: PublishBody) -> None:
+        """Reject a change that would be void, or that a live node of an older release could not check.
+
+        Raises:
+            RequestError: the document is invalid, or some live node does not support its schema version.
+        """
+        max_common_version = min(
+            member.max_schema_version for member in self._backend.membership.live_members()
+        )
+        if not 1 <= body.schema_version <= max_common_version:
+            raise invalid("schema_version", f"all live nodes support versions 1 to {max_common_version}")
         problem = validate_document(bytes(body.document))
         if problem is not None:
             raise invalid(f"document.{problem.path}", problem.reason, UNPROCESSABLE)
@@ -200,6 +216,7 @@
 
 
 def _verdict_response(verdict: PublishVerdict | None) -> Response:
+    """Return the HTTP response for a verdict; None means that it is not known yet."""
     match verdict:
         case InForce():
             return json_response(verdict)
@@ -209,9 +226,9 @@
         case Invalid(path=path, reason=reason):
             return json_response(ErrorBody("invalid", reason, f"document.{path}"), UNPROCESSABLE)
         case Unsupported(schema_version=version):
-            reason = f"this node cannot judge schema version {version}"
+            reason = f"this node does not support schema version {version}"
             return json_response(ErrorBody("unknown", reason, "schema_version"), BAD_GATEWAY)
         case None:
-            body = ErrorBody("unknown", "not confirmed yet; ask again with the same change_id", "change_id")
+            body = ErrorBody("unknown", "not confirmed yet; retry with the same change_id", "change_id")
             body.retry_after_seconds = UNRESOLVED_RETRY_SECONDS
             return json_response(body, UNAVAILABLE, UNRESOLVED_RETRY_SECONDS)
