--- a/src/worksramp/gateway/callers.py
+++ b/src/worksramp/gateway/callers.py
@@ -23,7 +23,6 @@
     ErrorBody,
     Natural,
     RequestError,
-    answering,
     authorize,
     invalid,
     json_response,
@@ -32,6 +31,7 @@
     read_struct,
     require_ready,
     step_error_body,
+    with_error_responses,
 )
 from worksramp.outcomes import Completed, ExecutionOutcome, KeyReused, NotRun, OutcomeUnknown, StepError
 from worksramp.rollout.document import group_name
@@ -91,8 +91,8 @@
         methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
         path = "/v1/applications/{application}/{path:path}"
         return [
-            Route("/v1/completions", answering(self._complete), methods=["POST"]),
-            Route(path, answering(self._call_application), methods=methods),
+            Route("/v1/completions", with_error_responses(self._complete), methods=["POST"]),
+            Route(path, with_error_responses(self._call_application), methods=methods),
         ]
 
     async def _complete(self, request: Request) -> Response:
--- a/src/worksramp/gateway/http.py
+++ b/src/worksramp/gateway/http.py
@@ -1,4 +1,4 @@
-"""Shared parts of the HTTP applications: keys, bodies, typed error answers."""
+"""Shared parts of the HTTP handlers: API keys, request bodies and headers, typed error responses."""
 
 import hashlib
 import hmac
@@ -31,19 +31,22 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 
-# What every codec on the way can carry: JSON numbers are exact up to here.
+# The range that every codec on the path preserves: JSON numbers are exact up to 2**53.
 Natural = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 StructT = TypeVar("StructT", bound=msgspec.Struct)
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class ErrorBody(msgspec.Struct, omit_defaults=True):
-    """Body of every error answer.
+    """Body of every error response.
 
     Attributes:
         outcome: ``invalid``, ``denied``, ``not_found``, ``not_run``, ``unknown``, ``conflict`` or
             ``not_ready``.
-        field: the field at fault, for ``invalid``.
+        field: the field, header or parameter that caused the error; empty if there is none.
+        step: name of the call that failed, as in `StepError`.
+        peer: address or id of the peer at which the call failed.
+        retry_after_seconds: time after which to retry; 0 if it is not known.
     """
 
     outcome: str
@@ -55,11 +58,11 @@
 
 
 class RequestError(Exception):
-    """A request that gets an error answer.
+    """A request that gets an error response.
 
     Attributes:
         status: HTTP status.
-        body: typed body.
+        body: body of the response.
     """
 
     def __init__(self, status: int, body: ErrorBody) -> None:
@@ -69,18 +72,18 @@
 
 
 def invalid(field: str, reason: str, status: int = BAD_REQUEST) -> RequestError:
-    """Return the error for a field that cannot be used."""
+    """Return the error for a field whose value is not valid."""
     return RequestError(status, ErrorBody("invalid", reason, field=field))
 
 
 def json_response(content: object, status: int = 200, retry_after_seconds: float = 0.0) -> Response:
-    """Return a JSON answer; ``Retry-After`` is in whole seconds, rounded up."""
+    """Return a JSON response; ``Retry-After`` is rounded up to whole seconds, and absent if the time is 0."""
     headers = {"retry-after": str(math.ceil(retry_after_seconds))} if retry_after_seconds > 0 else {}
     return Response(msgspec.json.encode(content), status, headers, "application/json")
 
 
 def step_error_body(error: StepError) -> tuple[int, ErrorBody]:
-    """Return status and body for a failed step."""
+    """Return the HTTP status and body for a failed step: 503 if it was not started, otherwise 502."""
     if isinstance(error, NotStartedError):
         seconds = error.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
         body = ErrorBody("not_run", error.reason, "", error.step, error.peer, seconds)
@@ -89,10 +92,10 @@
     return BAD_GATEWAY, body
 
 
-def answering(handler: Handler) -> Handler:
-    """Turn typed errors of a handler into typed answers."""
+def with_error_responses(handler: Handler) -> Handler:
+    """Wrap a handler so that its typed errors become error responses."""
 
-    async def answer(request: Request) -> Response:
+    async def respond(request: Request) -> Response:
         try:
             return await handler(request)
         except RequestError as error:
@@ -101,43 +104,43 @@
             status, body = step_error_body(error)
             return json_response(body, status, body.retry_after_seconds)
 
-    return answer
+    return respond
 
 
 def authorize(backend: GatewayBackend, request: Request, *roles: KeyRole) -> ApiKey:
-    """Return the key that a request carries.
+    """Return the API key of a request.
 
     Raises:
-        RequestError: no key, an unknown one, or one whose role may not do this.
+        RequestError: the request has no key, an unknown key, or a key with none of these roles.
     """
     header = request.headers.get("authorization", "")
     if not header.startswith(BEARER_PREFIX):
-        raise RequestError(UNAUTHORIZED, ErrorBody("denied", "a bearer key is needed", "authorization"))
+        raise RequestError(UNAUTHORIZED, ErrorBody("denied", "a bearer key is required", "authorization"))
     digest = hashlib.sha256(header[len(BEARER_PREFIX) :].encode()).hexdigest()
     matches = [key for key in backend.settings.keys if hmac.compare_digest(key.sha256, digest)]
     if not matches:
-        raise RequestError(UNAUTHORIZED, ErrorBody("denied", "the key is not known", "authorization"))
+        raise RequestError(UNAUTHORIZED, ErrorBody("denied", "the key is unknown", "authorization"))
     allowed = [key for key in matches if key.role in roles]
     if not allowed:
         names = " or ".join(role.value for role in roles)
         raise RequestError(
-            FORBIDDEN, ErrorBody("denied", f"a key of role {names} is needed", "authorization")
+            FORBIDDEN, ErrorBody("denied", f"a key with role {names} is required", "authorization")
         )
     return allowed[0]
 
 
 def require_ready(backend: GatewayBackend) -> None:
-    """Refuse at once while the node is starting or leaving.
+    """Reject a request while the node is starting or draining.
 
     Raises:
-        RequestError: nothing was run.
+        RequestError: the node is not ready; the request was not run.
     """
     if not backend.is_ready:
         raise RequestError(
             UNAVAILABLE,
             ErrorBody(
                 "not_run",
-                "the node is starting or leaving",
+                "the node is starting or draining",
                 step="gateway.ready",
                 peer=backend.settings.node_id,
                 retry_after_seconds=DEFAULT_RETRY_AFTER_SECONDS,
@@ -146,10 +149,10 @@
 
 
 async def read_body(request: Request) -> bytes:
-    """Return the body.
+    """Return the body of a request.
 
     Raises:
-        RequestError: it is larger than `MAX_BODY_BYTES`.
+        RequestError: the body is larger than `MAX_BODY_BYTES`.
     """
     parts: list[bytes] = []
     num_bytes = 0
@@ -162,10 +165,10 @@
 
 
 async def read_struct(request: Request, struct_type: type[StructT]) -> StructT:
-    """Decode a JSON body.
+    """Return the JSON body of a request, decoded.
 
     Raises:
-        RequestError: it is not JSON, or a field is missing, unknown or of the wrong type.
+        RequestError: the body is too large or not JSON, or a field is missing, unknown or of the wrong type.
     """
     try:
         return msgspec.json.decode(await read_body(request), type=struct_type)
@@ -175,10 +178,10 @@
 
 
 def read_deadline(backend: GatewayBackend, request: Request) -> float:
-    """Return the request's deadline in seconds from now.
+    """Return the deadline of a request, in seconds from now.
 
     Raises:
-        RequestError: the header is not a number in range.
+        RequestError: the header is not a number of seconds in the permitted range.
     """
     raw = request.headers.get(DEADLINE_HEADER)
     if raw is None:
@@ -193,10 +196,10 @@
 
 
 def read_int(raw: str | None, field: str) -> int:
-    """Return a whole number that is not negative.
+    """Return a parameter that must be a non-negative integer.
 
     Raises:
-        RequestError: it is not one.
+        RequestError: the parameter is missing, not a non-negative integer, or has too many digits.
     """
     if raw is None or not raw.isascii() or not raw.isdigit():
         raise invalid(field, f"{raw!r} is not a whole number")
--- a/src/worksramp/gateway/operators.py
+++ b/src/worksramp/gateway/operators.py
@@ -25,11 +25,11 @@
     ErrorBody,
     Natural,
     RequestError,
-    answering,
     authorize,
     invalid,
     json_response,
     read_struct,
+    with_error_responses,
 )
 from worksramp.rollout.document import SCHEMA_VERSION, validate_document
 from worksramp.rollout.prompts import prompt_set_name, prompt_stream, write_prompts
@@ -114,12 +114,16 @@
     def routes(self) -> list[Route]:
         """Return the routes of this API."""
         return [
-            Route("/v1/configuration", answering(self._read), methods=["GET"]),
-            Route("/v1/configuration", answering(self._publish), methods=["PUT"]),
-            Route("/v1/configuration/changes/{change_id}", answering(self._read_change), methods=["GET"]),
-            Route("/v1/prompts", answering(self._store_prompts), methods=["POST"]),
-            Route("/v1/status", answering(self._status), methods=["GET"]),
-            Route("/v1/drain", answering(self._drain), methods=["POST"]),
+            Route("/v1/configuration", with_error_responses(self._read), methods=["GET"]),
+            Route("/v1/configuration", with_error_responses(self._publish), methods=["PUT"]),
+            Route(
+                "/v1/configuration/changes/{change_id}",
+                with_error_responses(self._read_change),
+                methods=["GET"],
+            ),
+            Route("/v1/prompts", with_error_responses(self._store_prompts), methods=["POST"]),
+            Route("/v1/status", with_error_responses(self._status), methods=["GET"]),
+            Route("/v1/drain", with_error_responses(self._drain), methods=["POST"]),
             Route("/ready", self._ready, methods=["GET"]),
             Route("/metrics", self._metrics, methods=["GET"]),
         ]
--- a/src/worksramp/gateway/trainers.py
+++ b/src/worksramp/gateway/trainers.py
@@ -11,11 +11,11 @@
     UNAVAILABLE,
     ErrorBody,
     RequestError,
-    answering,
     authorize,
     json_response,
     read_int,
     require_ready,
+    with_error_responses,
 )
 from worksramp.outcomes import StepError
 from worksramp.settings import KeyRole
@@ -40,8 +40,8 @@
     def routes(self) -> list[Route]:
         """Return the routes."""
         return [
-            Route("/v1/jobs/{job}/batches/{cursor}", answering(self._fetch), methods=["GET"]),
-            Route("/v1/jobs/{job}", answering(self._describe), methods=["GET"]),
+            Route("/v1/jobs/{job}/batches/{cursor}", with_error_responses(self._fetch), methods=["GET"]),
+            Route("/v1/jobs/{job}", with_error_responses(self._describe), methods=["GET"]),
         ]
 
     async def _fetch(self, request: Request) -> Response:
