--- a/src/worksramp/gateway/backend.py
+++ b/src/worksramp/gateway/backend.py
@@ -1,4 +1,4 @@
-"""What the HTTP applications need of a node."""
+"""Interface of a node as the HTTP handlers use it."""
 
 from typing import Protocol
 
@@ -12,7 +12,14 @@
 
 
 class GatewayBackend(Protocol):
-    """A node as its HTTP applications see it."""
+    """Interface of a node to its HTTP handlers.
+
+    Attributes:
+        documents: the document in force for each tenant.
+
+    See Also:
+        worksramp.node.node.Node: the implementation.
+    """
 
     settings: NodeSettings
     platform: Platform
@@ -23,23 +30,31 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests may be taken."""
+        """Whether the node accepts requests."""
 
     @property
     def num_in_flight(self) -> int:
-        """Requests that have not ended."""
+        """Number of requests that have not ended."""
 
     @property
     def owned_shards(self) -> dict[str, dict[str, int]]:
-        """Figures of the shards that this node serves."""
+        """Metrics of the shards that the node serves, by shard."""
 
     async def call_owner(
         self, request: ExecuteOnce | FetchBatch | DescribeShard, seconds: float
     ) -> NodeReply:
-        """Have the owner of a shard answer a request."""
+        """Send a request to the owner of its shard and return the reply.
+
+        Args:
+            seconds: timeout of each call.
+
+        Raises:
+            NotStartedError: no owner was found, and no node started the request.
+            InterruptedStepError: an owner may have started the request.
+        """
 
     def wall_clock_ms(self) -> int:
-        """Unix time in milliseconds."""
+        """Return the Unix time in milliseconds."""
 
     async def stop(self) -> None:
-        """Leave in order."""
+        """Drain the node and stop it."""
