--- a/src/worksramp/gateway/app.py
+++ b/src/worksramp/gateway/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application of one node."""
+"""Assemble the HTTP application of one node."""
 
 import anyio.abc
 from starlette.applications import Starlette
@@ -12,7 +12,11 @@
 
 
 def make_application(backend: GatewayBackend, background: anyio.abc.TaskGroup) -> Starlette:
-    """Return the application; a node without the gateway role serves operators only."""
+    """Return the HTTP application of a node; without the gateway role, it serves the operators' API only.
+
+    Args:
+        background: task group in which a drain requested over HTTP runs.
+    """
     routes: list[BaseRoute] = [*OperatorsApi(backend, background).routes()]
     if Role.GATEWAY in backend.settings.roles:
         routes += CallersApi(backend).routes()
