--- a/src/worksramp/node/node.py
+++ b/src/worksramp/node/node.py
@@ -215,6 +215,9 @@
     async def call_owner(self, request: ShardRequest, seconds: float) -> NodeReply:
         """Send a request to the owner of its shard, which may be this node, and return the reply.
 
+        Args:
+            seconds: timeout of each call; a call is repeated when a node refers to another owner.
+
         Raises:
             NotStartedError: no owner was found, and no node started the request.
             InterruptedStepError: an owner may have started the request.
