--- a/src/worksramp/transport/messages.py
+++ b/src/worksramp/transport/messages.py
@@ -1,4 +1,4 @@
-"""Calls between nodes: one msgspec Struct a request and a reply, in two tagged unions."""
+"""Requests and replies between nodes, as msgspec Structs in two tagged unions."""
 
 from enum import StrEnum
 
@@ -8,10 +8,12 @@
 
 
 class ExecuteOnce(msgspec.Struct, frozen=True, tag="execute_once"):
-    """Run a request at most once, for the owner of its key's ledger slice.
+    """Ask the owner of the key's ledger slice to run a request at most once.
 
     Attributes:
-        key: canonical idempotency key, tenant included.
+        shard: shard of the ledger slice.
+        key: canonical idempotency key, which includes the tenant.
+        deadline_seconds: time until the deadline of the request.
     """
 
     shard: str
@@ -24,7 +26,7 @@
 
 
 class FetchBatch(msgspec.Struct, frozen=True, tag="fetch_batch"):
-    """Ask a job's owner for batch ``cursor``; says that all batches before it are taken in."""
+    """Ask the owner of a job for batch ``cursor``, and acknowledge all batches before it."""
 
     shard: str
     cursor: int
@@ -32,7 +34,12 @@
 
 
 class RunSample(msgspec.Struct, frozen=True, tag="run_sample"):
-    """Generate one completion on whichever engine the receiving node chooses."""
+    """Ask a node to generate one completion, on an engine that the node chooses.
+
+    Attributes:
+        min_weight_version: oldest weight version on which the completion may start.
+        live_reserved_share: share of each engine's slots that is reserved for live requests.
+    """
 
     request_id: str
     fleet: str
@@ -45,45 +52,49 @@
 
 
 class CheckSample(msgspec.Struct, frozen=True, tag="check_sample"):
-    """Ask whether a `RunSample` is still running there."""
+    """Ask a node whether it still runs a `RunSample` request."""
 
     request_id: str
 
 
 class SampleChecked(msgspec.Struct, frozen=True, tag="sample_checked"):
-    """Answer to `CheckSample`."""
+    """Reply to `CheckSample`."""
 
     is_running: bool
 
 
 class PushConfiguration(msgspec.Struct, frozen=True, tag="push_configuration"):
-    """Records of the configuration stream that the sender holds."""
+    """Send records of the configuration stream to a peer.
+
+    Attributes:
+        start: offset of the first record.
+    """
 
     start: int
     records: tuple[bytes, ...]
 
 
 class PullConfiguration(msgspec.Struct, frozen=True, tag="pull_configuration"):
-    """Ask for the configuration records from ``start`` on."""
+    """Ask for the configuration records from offset ``start``."""
 
     start: int
 
 
 class DescribeShard(msgspec.Struct, frozen=True, tag="describe_shard"):
-    """Ask the owner of a shard for its state in words and counts."""
+    """Ask the owner of a shard for a `ShardDescription`."""
 
     shard: str
 
 
 class AnnounceVersion(msgspec.Struct, frozen=True, tag="announce_version"):
-    """Tell the owner of a fleet's cell that newer weights are published."""
+    """Announce a published weight version to the owner of a cell of a fleet."""
 
     shard: str
     weight_version: int
 
 
 class VersionNoted(msgspec.Struct, frozen=True, tag="version_noted"):
-    """The owner knows of these weights now, or of newer ones."""
+    """Reply to `AnnounceVersion`: target version of the cell, the announced one or newer."""
 
     weight_version: int
 
@@ -101,7 +112,7 @@
 
 
 class ExecutionKind(StrEnum):
-    """Tags of `worksramp.outcomes.ExecutionOutcome` on the wire."""
+    """Wire names of the kinds of `worksramp.outcomes.ExecutionOutcome`."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -122,27 +133,31 @@
 
 
 class BatchReply(msgspec.Struct, frozen=True, tag="batch"):
-    """A committed batch, as the JSON that the trainer gets."""
+    """Reply to `FetchBatch`: a committed batch, as the JSON that the trainer receives."""
 
     body: bytes
 
 
 class BatchNotReady(msgspec.Struct, frozen=True, tag="batch_not_ready"):
-    """Too few samples are finished, or the commit is not confirmed yet."""
+    """Reply to `FetchBatch`: too few samples are finished, or the batch is not confirmed or readable yet.
+
+    Attributes:
+        num_missing: finished samples that the batch lacks; 0 if it is delayed for another reason.
+    """
 
     num_missing: int
     retry_after_seconds: float
 
 
 class BatchRefused(msgspec.Struct, frozen=True, tag="batch_refused"):
-    """The request can never be granted."""
+    """Reply to `FetchBatch`: the request can never succeed."""
 
     field: str
     reason: str
 
 
 class SegmentReply(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens ``start`` up to ``end`` by one weight version."""
+    """Tokens from ``start`` to before ``end``, generated by one weight version."""
 
     weight_version: int
     start: int
@@ -150,17 +165,19 @@
 
 
 class SampleReply(msgspec.Struct, frozen=True, tag="sample"):
-    """A whole completion."""
+    """Reply to `RunSample`: the complete completion."""
 
     tokens: tuple[str, ...]
     segments: tuple[SegmentReply, ...]
 
 
 class ConfigurationRecords(msgspec.Struct, frozen=True, tag="configuration_records"):
-    """Records from ``start``; when ``snapshot`` is set, the folded state up to ``start``.
+    """Reply to `PullConfiguration`: records of the configuration stream from offset ``start``.
 
     Attributes:
-        is_ready: whether the answering node is itself up to date; only then does it count as heard.
+        snapshot: encoded state before ``start``; empty if the receiver needs none.
+        is_ready: whether the responding node is up to date itself. Only then does its reply count towards
+            those that a starting node needs.
     """
 
     start: int
@@ -170,13 +187,13 @@
 
 
 class ConfigurationHeld(msgspec.Struct, frozen=True, tag="configuration_held"):
-    """The receiver now holds all records below ``next_offset``."""
+    """Reply to `PushConfiguration`: the receiver holds all records before offset ``next_offset``."""
 
     next_offset: int
 
 
 class ShardDescription(msgspec.Struct, frozen=True, tag="shard_description"):
-    """State of one shard for operators."""
+    """Reply to `DescribeShard`: ownership and metrics of a shard."""
 
     shard: str
     owner: str
@@ -185,13 +202,21 @@
 
 
 class NotOwner(msgspec.Struct, frozen=True, tag="not_owner"):
-    """The receiver does not own the shard and did nothing; ``owner_address`` may be empty."""
+    """The receiver does not own the shard and did nothing.
+
+    Attributes:
+        owner_address: address of the owner; empty if it is not known.
+    """
 
     owner_address: str = ""
 
 
 class CallFailed(msgspec.Struct, frozen=True, tag="call_failed"):
-    """A step failed on the receiving node."""
+    """A step failed on the receiving node.
+
+    Attributes:
+        is_not_started: whether the step certainly did not start, as with `NotStartedError`.
+    """
 
     step: str
     peer: str
@@ -219,12 +244,12 @@
 
 
 def encode_message(message: NodeRequest | NodeReply) -> bytes:
-    """Encode a request or reply."""
+    """Return the encoded form of a request or reply."""
     return msgspec.msgpack.encode(message)
 
 
 def decode_request(payload: bytes) -> NodeRequest:
-    """Decode a request.
+    """Return the request that the bytes encode.
 
     Raises:
         msgspec.DecodeError: the bytes are not a request of this release.
@@ -233,10 +258,10 @@
 
 
 def decode_reply(step: str, peer: str, payload: bytes) -> NodeReply:
-    """Decode a reply.
+    """Return the reply that the bytes encode.
 
     Raises:
-        StepError: the bytes are not a reply of this release.
+        StepError: the bytes are not a reply of this release; has the given step and peer.
     """
     try:
         return _reply_decoder.decode(payload)
@@ -245,7 +270,7 @@
 
 
 def to_execute_reply(outcome: ExecutionOutcome) -> ExecuteReply:
-    """Return an outcome as it goes over the wire."""
+    """Return the wire form of an outcome."""
     match outcome:
         case Completed(status=status, body=body):
             return ExecuteReply(ExecutionKind.COMPLETED, status=status, body=body)
@@ -260,7 +285,7 @@
 
 
 def from_execute_reply(reply: ExecuteReply) -> ExecutionOutcome:
-    """Return the outcome that a reply stands for."""
+    """Return the outcome that a reply encodes."""
     match reply.kind:
         case ExecutionKind.COMPLETED:
             return Completed(reply.status, reply.body)
