--- a/src/worksramp/transport/tcp.py
+++ b/src/worksramp/transport/tcp.py
@@ -1,7 +1,7 @@
 """Node-to-node transport over UDP datagrams and multiplexed TCP connections.
 
-A frame is a four-byte length and a msgpack `Frame`. A malformed frame closes its connection alone and
-is counted; other connections go on.
+A frame is a length of four bytes, followed by a `Frame` encoded as msgpack. A malformed frame is counted, and
+closes only its own connection.
 """
 
 import struct
@@ -27,7 +27,11 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """One request or reply on a connection."""
+    """One request or reply on a connection.
+
+    Attributes:
+        call_id: number of the call on its connection; a reply has the number of its request.
+    """
 
     call_id: int
     is_reply: bool
@@ -35,8 +39,13 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A call whose reply has not come yet."""
+class _PendingCall:
+    """A call whose reply has not been received yet.
+
+    Attributes:
+        done: set when the reply is received or the connection breaks.
+        payload: payload of the reply, None if none was received.
+    """
 
     done: anyio.Event = field(default_factory=anyio.Event)
     payload: bytes | None = None
@@ -48,27 +57,27 @@
     def __init__(self, stream: anyio.abc.ByteStream) -> None:
         self.stream = stream
         self.is_broken = False
-        self.waiting: dict[int, _Waiting] = {}
+        self.pending_calls: dict[int, _PendingCall] = {}
         self._lock = anyio.Lock()
         self._next_id = 0
 
-    def new_call(self) -> tuple[int, _Waiting]:
+    def add_call(self) -> tuple[int, _PendingCall]:
         self._next_id += 1
-        waiting = _Waiting()
-        self.waiting[self._next_id] = waiting
-        return self._next_id, waiting
+        pending = _PendingCall()
+        self.pending_calls[self._next_id] = pending
+        return self._next_id, pending
 
     async def send(self, frame: Frame) -> None:
         await _send_frame(self.stream, self._lock, frame)
 
-    def break_off(self) -> None:
+    def mark_broken(self) -> None:
         self.is_broken = True
-        for waiting in self.waiting.values():
-            waiting.done.set()
+        for pending in self.pending_calls.values():
+            pending.done.set()
 
 
 class TcpTransport(Transport):
-    """Transport for production; `serve` must run for calls to be made."""
+    """Production transport; `serve` must be running when calls are made or datagrams are sent."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -88,31 +97,31 @@
         host, _, port = address.rpartition(":")
         SENT_BYTES.labels("datagram").inc(len(payload))
         try:
-            # anyio refuses a second sender while one waits for the socket.
+            # anyio raises an error if a second task sends while one waits for the socket.
             async with self._udp_lock:
                 await self._udp.sendto(payload, host, int(port))
         except OSError:
-            # Datagrams are best effort; the membership protocol notices silence.
+            # Datagrams are best effort; the membership protocol detects nodes that do not respond.
             return
 
     async def call(self, address: str, payload: bytes, timeout_seconds: float) -> bytes:
         """See `Transport.call`."""
         connection = await self._connect(address)
-        call_id, waiting = connection.new_call()
+        call_id, pending = connection.add_call()
         try:
             with anyio.fail_after(timeout_seconds):
                 await connection.send(Frame(call_id, is_reply=False, payload=payload))
-                await waiting.done.wait()
+                await pending.done.wait()
         except TimeoutError as error:
             raise InterruptedStepError(STEP, address, f"no reply in {timeout_seconds:.1f} s") from error
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            connection.break_off()
+            connection.mark_broken()
             raise InterruptedStepError(STEP, address, f"connection broke: {error!r}") from error
         finally:
-            connection.waiting.pop(call_id, None)
-        if waiting.payload is None:
+            connection.pending_calls.pop(call_id, None)
+        if pending.payload is None:
             raise InterruptedStepError(STEP, address, "connection broke before the reply")
-        return waiting.payload
+        return pending.payload
 
     async def serve(self, on_datagram: DatagramHandler, on_call: CallHandler) -> None:
         """See `Transport.serve`."""
@@ -137,12 +146,12 @@
     async def _serve_connection(self, stream: anyio.abc.SocketStream, on_call: CallHandler) -> None:
         lock = anyio.Lock()
 
-        async def answer(frame: Frame) -> None:
+        async def respond(frame: Frame) -> None:
             reply = await on_call(frame.payload)
             try:
                 await _send_frame(stream, lock, Frame(frame.call_id, is_reply=True, payload=reply))
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                # The caller is gone; it will ask again or has been told that the outcome is unknown.
+                # The caller is gone. It repeats the request, or has already got the outcome 'unknown'.
                 return
 
         async with stream, anyio.create_task_group() as group:
@@ -152,7 +161,7 @@
                 if frame is None or frame.is_reply:
                     group.cancel_scope.cancel()
                     return
-                group.start_soon(answer, frame)
+                group.start_soon(respond, frame)
 
     async def _connect(self, address: str) -> _Connection:
         lock = self._connect_locks.setdefault(address, anyio.Lock())
@@ -180,12 +189,12 @@
                 frame = await _receive_frame(buffered)
                 if frame is None:
                     return
-                waiting = connection.waiting.get(frame.call_id)
-                if waiting is not None:
-                    waiting.payload = frame.payload
-                    waiting.done.set()
+                pending = connection.pending_calls.get(frame.call_id)
+                if pending is not None:
+                    pending.payload = frame.payload
+                    pending.done.set()
         finally:
-            connection.break_off()
+            connection.mark_broken()
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(connection.stream)
 
@@ -194,13 +203,13 @@
     encoded = msgspec.msgpack.encode(frame)
     SENT_BYTES.labels("call").inc(len(encoded) + LENGTH_FORMAT.size)
     async with lock:
-        # A frame cut short by cancellation would garble every later one on the connection.
+        # A frame truncated by a cancellation would corrupt every later frame on the connection.
         with anyio.CancelScope(shield=True):
             await stream.send(LENGTH_FORMAT.pack(len(encoded)) + encoded)
 
 
 async def _receive_frame(buffered: BufferedByteReceiveStream) -> Frame | None:
-    """Return the next frame, None when the connection ended or sent something malformed."""
+    """Return the next frame, or None if the connection ended or the frame is malformed."""
     try:
         (length,) = LENGTH_FORMAT.unpack(await buffered.receive_exactly(LENGTH_FORMAT.size))
         if length > MAX_FRAME_BYTES:
