--- a/src/worksramp/transport/__init__.py
+++ b/src/worksramp/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between worksramp nodes."""
+"""Messages between worksramp nodes, and their transport."""
--- a/src/worksramp/transport/base.py
+++ b/src/worksramp/transport/base.py
@@ -1,8 +1,8 @@
-"""Messages between nodes: best-effort datagrams and calls with one reply.
+"""Interface of the transport between nodes: best-effort datagrams, and calls with one reply.
 
 See Also:
     worksramp.transport.tcp: the production implementation.
-    worksramp_emulator.simulation.network: the in-process twin.
+    worksramp_emulator.simulation.network: the in-process implementation for simulations.
 """
 
 from abc import ABC, abstractmethod
@@ -14,7 +14,7 @@
 
 
 class Transport(ABC):
-    """One node's end of the node-to-node network.
+    """Sends and receives the messages of one node.
 
     Attributes:
         address: ``ip:port`` at which other nodes reach this one.
@@ -24,17 +24,22 @@
 
     @abstractmethod
     async def send(self, address: str, payload: bytes) -> None:
-        """Send a datagram; it may be lost, doubled or overtaken."""
+        """Send a datagram; it may be lost, duplicated or reordered."""
 
     @abstractmethod
     async def call(self, address: str, payload: bytes, timeout_seconds: float) -> bytes:
         """Send a request and return its reply.
 
         Raises:
-            NotStartedError: no connection could be made, so the peer did not see the request.
-            InterruptedStepError: no reply came in time, or the connection broke.
+            NotStartedError: no connection could be made, so the peer did not receive the request.
+            InterruptedStepError: no reply was received in time, or the connection broke.
         """
 
     @abstractmethod
     async def serve(self, on_datagram: DatagramHandler, on_call: CallHandler) -> None:
-        """Handle what arrives until cancelled."""
+        """Receive messages until cancelled.
+
+        Args:
+            on_datagram: called with the payload of each datagram.
+            on_call: called with the payload of each request; returns the payload of the reply.
+        """
