--- a/tests/unit/test_gateway_http.py
+++ b/tests/unit/test_gateway_http.py
@@ -1,4 +1,4 @@
-"""The HTTP API answers bad input with a typed body that names field and reason."""
+"""The HTTP API responds to invalid requests with a typed error body that has field and reason."""
 
 from collections.abc import Awaitable, Callable
 
@@ -22,13 +22,13 @@
 )
 
 Ask = Callable[..., Awaitable[httpx.Response]]
-CONFIRM = f"/v1/applications/{APPLICATION}/confirm"
+CONFIRM_PATH = f"/v1/applications/{APPLICATION}/confirm"
 
 
-def ask_once(
+def request_once(
     method: str, path: str, key: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> httpx.Response:
-    """Make one request of a running node in a simulation of its own."""
+    """Return the response to one request to a node that runs in a new simulation."""
     configure_logs("error")
 
     async def main() -> httpx.Response:
@@ -44,37 +44,37 @@
     return run_simulated(main, 1)
 
 
-def completion(**fields: object) -> bytes:
+def completion_body(**fields: object) -> bytes:
     return msgspec.json.encode({"model": MODEL, "prompt": "p", "max_tokens": 4} | fields)
 
 
 @pytest.mark.parametrize(
     ("method", "path", "key", "body", "headers", "status", "field"),
     [
-        ("POST", "/v1/completions", "no-such-key", completion(), {}, 401, "authorization"),
-        ("POST", "/v1/completions", TRAINER_KEY, completion(), {}, 403, "authorization"),
+        ("POST", "/v1/completions", "no-such-key", completion_body(), {}, 401, "authorization"),
+        ("POST", "/v1/completions", TRAINER_KEY, completion_body(), {}, 403, "authorization"),
         ("POST", "/v1/completions", CALLER_KEY, b"{", {}, 400, "(body)"),
         ("POST", "/v1/completions", CALLER_KEY, b'{"model": "m"}', {}, 400, "(body)"),
-        ("POST", "/v1/completions", CALLER_KEY, completion(max_tokens=0), {}, 400, "max_tokens"),
-        ("POST", "/v1/completions", CALLER_KEY, completion(max_tokens="x"), {}, 400, "max_tokens"),
-        ("POST", "/v1/completions", CALLER_KEY, completion(model="other"), {}, 404, "model"),
+        ("POST", "/v1/completions", CALLER_KEY, completion_body(max_tokens=0), {}, 400, "max_tokens"),
+        ("POST", "/v1/completions", CALLER_KEY, completion_body(max_tokens="x"), {}, 400, "max_tokens"),
+        ("POST", "/v1/completions", CALLER_KEY, completion_body(model="other"), {}, 404, "model"),
         ("POST", "/v1/completions", CALLER_KEY, b" " * (MAX_BODY_BYTES + 1), {}, 413, "(body)"),
         (
             "POST",
             "/v1/completions",
             CALLER_KEY,
-            completion(),
+            completion_body(),
             {"x-deadline-seconds": "soon"},
             400,
             "x-deadline-seconds",
         ),
-        ("POST", CONFIRM, CALLER_KEY, b"1", {"idempotency-key": "1"}, 400, "idempotency-key"),
+        ("POST", CONFIRM_PATH, CALLER_KEY, b"1", {"idempotency-key": "1"}, 400, "idempotency-key"),
         ("GET", f"/v1/jobs/{JOB}/batches/x?trainer_version=1", TRAINER_KEY, b"", {}, 400, "cursor"),
         ("GET", f"/v1/jobs/{JOB}/batches/1", TRAINER_KEY, b"", {}, 400, "trainer_version"),
         ("GET", f"/v1/jobs/{JOB}/batches/{10**30}?trainer_version=1", TRAINER_KEY, b"", {}, 400, "cursor"),
         ("GET", f"/v1/jobs/{JOB}/batches/1?trainer_version=²", TRAINER_KEY, b"", {}, 400, "trainer_version"),
-        ("POST", "/v1/completions", CALLER_KEY, completion(seed=2**70), {}, 400, "seed"),
-        ("POST", "/v1/completions", CALLER_KEY, completion(seed=-1), {}, 400, "seed"),
+        ("POST", "/v1/completions", CALLER_KEY, completion_body(seed=2**70), {}, 400, "seed"),
+        ("POST", "/v1/completions", CALLER_KEY, completion_body(seed=-1), {}, 400, "seed"),
         (
             "PUT",
             "/v1/configuration",
@@ -107,23 +107,23 @@
         ),
     ],
 )
-def test_bad_input_gets_a_typed_answer(
+def test_invalid_request_gets_a_typed_error(
     method: str, path: str, key: str, body: bytes, headers: dict[str, str], status: int, field: str
 ) -> None:
-    response = ask_once(method, path, key, body, headers)
+    response = request_once(method, path, key, body, headers)
     error = response.json()
     assert (response.status_code, error.get("field")) == (status, field)
     assert error["outcome"]
     assert error["reason"]
 
 
-def test_a_whole_completion_names_its_weights() -> None:
-    answer = ask_once("POST", "/v1/completions", CALLER_KEY, completion()).json()
-    assert answer["object"] == "text_completion"
-    assert answer["weight_versions"] == [[1, 0, 4]]
+def test_completion_reports_its_weight_versions() -> None:
+    completion = request_once("POST", "/v1/completions", CALLER_KEY, completion_body()).json()
+    assert completion["object"] == "text_completion"
+    assert completion["weight_versions"] == [[1, 0, 4]]
 
 
-def test_a_stream_ends_with_done() -> None:
-    response = ask_once("POST", "/v1/completions", CALLER_KEY, completion(stream=True))
+def test_stream_ends_with_done() -> None:
+    response = request_once("POST", "/v1/completions", CALLER_KEY, completion_body(stream=True))
     assert response.headers["content-type"].startswith("text/event-stream")
     assert response.text.rstrip().endswith("data: [DONE]")
