--- a/tests/unit/test_tcp_transport.py
+++ b/tests/unit/test_tcp_transport.py
@@ -1,4 +1,4 @@
-"""The production transport over loopback."""
+"""The production transport, over the loopback interface."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -13,24 +13,27 @@
 
 
 def free_address() -> str:
-    with socket.socket() as item:
-        item.bind((HOST, 0))
-        return f"{HOST}:{item.getsockname()[1]}"
+    with socket.socket() as probe:
+        probe.bind((HOST, 0))
+        return f"{HOST}:{probe.getsockname()[1]}"
 
 
 class Peer:
-    """A transport that records datagrams and answers calls with their payload reversed."""
+    """A transport that records datagrams and replies to calls with the payload reversed.
+
+    While `is_hanging` is set, calls get no reply.
+    """
 
     def __init__(self) -> None:
         self.transport = TcpTransport(free_address())
         self.datagrams: list[bytes] = []
-        self.is_silent = False
+        self.is_hanging = False
 
-    async def take(self, payload: bytes) -> None:
+    async def record_datagram(self, payload: bytes) -> None:
         self.datagrams.append(payload)
 
-    async def answer(self, payload: bytes) -> bytes:
-        if self.is_silent:
+    async def reverse(self, payload: bytes) -> bytes:
+        if self.is_hanging:
             await anyio.sleep_forever()
         return payload[::-1]
 
@@ -40,7 +43,7 @@
         one, two = Peer(), Peer()
         async with anyio.create_task_group() as group:
             for peer in (one, two):
-                group.start_soon(peer.transport.serve, peer.take, peer.answer)
+                group.start_soon(peer.transport.serve, peer.record_datagram, peer.reverse)
             with anyio.fail_after(20):
                 while True:
                     try:
@@ -55,7 +58,7 @@
     anyio.run(main)
 
 
-def test_many_tasks_send_datagrams_at_once() -> None:
+def test_tasks_can_send_datagrams_concurrently() -> None:
     async def check(one: Peer, two: Peer) -> None:
         async with anyio.create_task_group() as group:
             for number in range(200):
@@ -67,7 +70,7 @@
     run_pair(check)
 
 
-def test_answers_find_their_calls() -> None:
+def test_concurrent_calls_get_their_own_replies() -> None:
     async def check(one: Peer, two: Peer) -> None:
         async def call(number: int) -> None:
             payload = b"%d" % number
@@ -80,7 +83,7 @@
     run_pair(check)
 
 
-def test_a_malformed_frame_closes_its_own_connection_alone() -> None:
+def test_malformed_frame_closes_only_its_connection() -> None:
     async def check(one: Peer, two: Peer) -> None:
         host, _, port = two.transport.address.rpartition(":")
         for garbage in (b"\x00\x00\x00\x02\xc1\xc1", (MAX_FRAME_BYTES + 1).to_bytes(4, "big")):
@@ -93,7 +96,7 @@
     run_pair(check)
 
 
-def test_a_peer_that_is_not_there_has_not_started() -> None:
+def test_call_to_absent_peer_is_not_started() -> None:
     async def check(one: Peer, two: Peer) -> None:
         with pytest.raises(NotStartedError):
             await one.transport.call(free_address(), b"ab", 5.0)
@@ -101,9 +104,9 @@
     run_pair(check)
 
 
-def test_a_silent_peer_may_have_started() -> None:
+def test_call_without_reply_may_have_started() -> None:
     async def check(one: Peer, two: Peer) -> None:
-        two.is_silent = True
+        two.is_hanging = True
         with pytest.raises(InterruptedStepError):
             await one.transport.call(two.transport.address, b"ab", 0.05)
 
