--- a/src/worksramp/gateway/operators.py
+++ b/src/worksramp/gateway/operators.py
@@ -104,7 +104,7 @@
     """HTTP handlers of the operators' API of one node.
 
     Args:
-        background: task group in which the drain continues after its request has got a response.
+        background: task group in which a requested drain runs; it outlives the request.
     """
 
     def __init__(self, backend: GatewayBackend, background: anyio.abc.TaskGroup) -> None:
--- a/src/worksramp/node/machines.py
+++ b/src/worksramp/node/machines.py
@@ -27,7 +27,7 @@
     Attributes:
         node_id: instance id of this process, as in `live_nodes`.
         subset_size: number of workers of a group that a node uses on average.
-        live_nodes: returns the instance ids of the live nodes that share the workers, the gateways.
+        live_nodes: returns the instance ids of the live nodes that share the workers: the gateways.
         machines: the last copy of the list, empty until the list has been read once.
     """
 
--- a/src/worksramp/transport/messages.py
+++ b/src/worksramp/transport/messages.py
@@ -165,7 +165,7 @@
 
 
 class SampleReply(msgspec.Struct, frozen=True, tag="sample"):
-    """Reply to `RunSample`: the complete completion."""
+    """Reply to `RunSample`: all tokens of the completion."""
 
     tokens: tuple[str, ...]
     segments: tuple[SegmentReply, ...]
