--- a/src/worksramp_emulator/experiments.py
+++ b/src/worksramp_emulator/experiments.py
@@ -56,7 +56,7 @@
         max_tokens=spec.max_tokens,
         preference=preference,
         engine=engine_profile(spec),
-        network=NetworkProfile(loss_share=0.0, duplication_share=0.0, chunk_trouble_share=0.0),
+        network=NetworkProfile(loss_share=0.0, duplication_share=0.0, chunk_fault_share=0.0),
     )
 
     async def main() -> RunFigures:
--- a/src/worksramp_emulator/simulation/batch_troubles.py
+++ b/src/worksramp_emulator/simulation/batch_faults.py
@@ -231,7 +231,7 @@
 ]
 
 
-def trouble_called(text: str) -> Trouble:
+def parse_fault(text: str) -> Trouble:
     """Return the trouble that a sentence of a scenario names."""
     for pattern, trouble in [*TROUBLES, *NAMED_TROUBLES]:
         found = re.fullmatch(pattern, text)
--- a/src/worksramp_emulator/simulation/clients.py
+++ b/src/worksramp_emulator/simulation/clients.py
@@ -132,7 +132,7 @@
 
     def _strays(self, chunk: GenerationChunk) -> list[GenerationChunk]:
         """Return chunks that arrive out of place before this one: the last one again, or a foreign one."""
-        share = self._network.profile.chunk_trouble_share
+        share = self._network.profile.chunk_fault_share
         drawn = self._network.draw_chunk_trouble()
         strays: list[GenerationChunk] = []
         if drawn < share and self._last_foreign is not None:
--- a/src/worksramp_emulator/simulation/live_checkers.py
+++ b/src/worksramp_emulator/simulation/live_checkers.py
@@ -32,7 +32,7 @@
     return found
 
 
-def check_innocents(world: LiveWorld) -> list[str]:
+def check_false_quarantines(world: LiveWorld) -> list[str]:
     """No request that ends no worker is refused for the crashes of others."""
     killing = world.fleet.application.killing_targets
     innocent = [caller_try for caller_try in world.tries if caller_try.target not in killing]
--- a/src/worksramp_emulator/simulation/live_world.py
+++ b/src/worksramp_emulator/simulation/live_world.py
@@ -13,7 +13,7 @@
 from worksramp.routing.workers import WorkerEntry
 from worksramp.wire import encode
 from worksramp_emulator.batch_fleet import FleetWorker
-from worksramp_emulator.simulation.batch_troubles import cut_node, with_faults
+from worksramp_emulator.simulation.batch_faults import cut_node, with_faults
 from worksramp_emulator.simulation.batch_world import BatchWorld, BatchWorldSpec, NodeSlot
 
 APPLICATION_SERVICE = "orders"
@@ -154,7 +154,7 @@
         self.tries.append(LiveTry(now, slot.name, target, type(outcome).__name__, is_served))
         return is_served
 
-    async def come_again(self, target: bytes, num_times: int, pause_s: float) -> None:
+    async def send_repeatedly(self, target: bytes, num_times: int, pause_s: float) -> None:
         """Have one caller send a request that ends workers, time after time."""
         self.fleet.application.killing_targets.add(target)
         for _ in range(num_times):
@@ -174,7 +174,7 @@
 
     # Troubles.
 
-    async def lose_workers(self, num_workers: int) -> None:
+    async def crash_workers(self, num_workers: int) -> None:
         """End workers at the same moment, through no request's fault."""
         for worker in self.application_workers()[:num_workers]:
             self.fleet.application.crash(worker)
--- a/src/worksramp_emulator/simulation/network.py
+++ b/src/worksramp_emulator/simulation/network.py
@@ -24,14 +24,14 @@
         one_way_seconds: least delay; up to as much again is added at random, which reorders.
         loss_share: share of datagrams lost.
         duplication_share: share of datagrams that arrive twice.
-        chunk_trouble_share: share of stream chunks after which an older chunk of the stream, or one of
+        chunk_fault_share: share of stream chunks after which an older chunk of the stream, or one of
             another stream, arrives.
     """
 
     one_way_seconds: float = 0.001
     loss_share: float = 0.01
     duplication_share: float = 0.02
-    chunk_trouble_share: float = 0.01
+    chunk_fault_share: float = 0.01
 
 
 class SimulatedNetwork:
@@ -62,7 +62,7 @@
         return (source, target) in self._cuts
 
     def draw_chunk_trouble(self) -> float:
-        """Return a number below `chunk_trouble_share` if a stray chunk is to arrive now."""
+        """Return a number below `chunk_fault_share` if a stray chunk is to arrive now."""
         return self._rng.random()
 
     async def travel(self) -> None:
--- a/tests/steps/test_batches.py
+++ b/tests/steps/test_batches.py
@@ -9,12 +9,12 @@
 from worksramp.logs import configure_logs
 from worksramp_emulator.batch_fleet import num_events_of
 from worksramp_emulator.simulation.batch_checkers import check_all
-from worksramp_emulator.simulation.batch_troubles import (
+from worksramp_emulator.simulation.batch_faults import (
     Trouble,
     draw_troubles,
     later,
+    parse_fault,
     scorers,
-    trouble_called,
 )
 from worksramp_emulator.simulation.batch_world import TRAIN_SECONDS, BatchWorld, BatchWorldSpec, call_of
 from worksramp_emulator.simulation.clock import run_simulated
@@ -94,7 +94,7 @@
 
 @given(parsers.re(r"(?P<text>.+) at (?P<at>\d+) seconds"))
 def trouble_at(plan: Plan, text: str, at: str) -> None:
-    plan.troubles.append((float(at), trouble_called(text)))
+    plan.troubles.append((float(at), parse_fault(text)))
 
 
 @given(parsers.parse("drawn troubles for {seconds:d} seconds"))
--- a/tests/steps/test_directed.py
+++ b/tests/steps/test_directed.py
@@ -307,7 +307,7 @@
     engine = EngineProfile(max_num_seqs=8, load_seconds=0.6)
     samples = 64 if is_rollout_on else 2
     # Chunks out of place are another scenario's matter: each costs a retry and so latency.
-    network = NetworkProfile(chunk_trouble_share=0.0)
+    network = NetworkProfile(chunk_fault_share=0.0)
     spec = WorldSpec(samples_per_step=samples, num_steps=1, train_seconds=0.1, engine=engine, network=network)
     plan = Plan(spec)
 
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -26,7 +26,7 @@
 from worksramp.routing.worker_port import ListenerState
 from worksramp_emulator.batch_fleet import FleetPort
 from worksramp_emulator.simulation.clock import run_simulated
-from worksramp_emulator.simulation.live_checkers import check_crash_bound, check_innocents
+from worksramp_emulator.simulation.live_checkers import check_crash_bound, check_false_quarantines
 from worksramp_emulator.simulation.live_world import APPLICATION_PREFIX, LiveWorld
 
 CRASHING = f"{APPLICATION_PREFIX}kills".encode()
@@ -57,7 +57,7 @@
 
 
 async def retry_often(world: LiveWorld) -> None:
-    await world.come_again(CRASHING, num_times=12, pause_s=1.5)
+    await world.send_repeatedly(CRASHING, num_times=12, pause_s=1.5)
 
 
 def num_crashed(world: LiveWorld) -> int:
@@ -76,18 +76,18 @@
 def test_it_crashes_three_workers_at_most_and_other_requests_are_not_refused(seed: int) -> None:
     world = simulate(retry_often, seed)
     assert num_crashed(world) <= 3
-    assert check_innocents(world) == []
+    assert check_false_quarantines(world) == []
 
 
 def test_a_restarted_node_applies_the_quarantine_at_once() -> None:
     async def work(world: LiveWorld) -> None:
-        await world.come_again(CRASHING, num_times=3, pause_s=1.0)
+        await world.send_repeatedly(CRASHING, num_times=3, pause_s=1.0)
         for slot in world.slots:
             world.kill_node(slot)
         for slot in world.slots:
             world.start_node(slot)
         await anyio.sleep(4.0)
-        await world.come_again(CRASHING, num_times=4, pause_s=0.5)
+        await world.send_repeatedly(CRASHING, num_times=4, pause_s=0.5)
 
     assert num_crashed(simulate(work, num_nodes=4)) <= 3
 
@@ -95,10 +95,10 @@
 def test_crashes_observed_while_the_store_was_unavailable_are_shared_soon_after() -> None:
     async def work(world: LiveWorld) -> None:
         world.group.start_soon(world.lose_store, 5.0)
-        await world.come_again(CRASHING, num_times=5, pause_s=0.8)
+        await world.send_repeatedly(CRASHING, num_times=5, pause_s=0.8)
         await anyio.sleep(4.5)
         before = num_crashed(world)
-        await world.come_again(CRASHING, num_times=8, pause_s=0.8)
+        await world.send_repeatedly(CRASHING, num_times=8, pause_s=0.8)
         assert num_crashed(world) == before
 
     assert check_crash_bound(simulate(work, num_nodes=4)) == []
@@ -115,7 +115,7 @@
                 lambda: world.lose_node(slot, 0.6),
                 lambda: world.cut_node(slot, 2.0),
                 lambda: world.lose_store(1.5),
-                lambda: world.lose_workers(1),
+                lambda: world.crash_workers(1),
                 world.reset_connections,
             ]
             await source.choice(faults)()
@@ -127,7 +127,7 @@
 
         world.group.start_soon(inject_faults)
         await retry_often(world)
-        await world.come_again(CRASHING, num_times=6, pause_s=1.5)
+        await world.send_repeatedly(CRASHING, num_times=6, pause_s=1.5)
 
     world = simulate(work, seed, num_nodes=4)
     assert check_crash_bound(world) == []
@@ -139,17 +139,17 @@
         world.group.start_soon(world.ordinary_traffic, 60.0, TRAFFIC_S, "often", True)
         for _ in range(4):
             await anyio.sleep(3.5)
-            await world.lose_workers(num_workers)
+            await world.crash_workers(num_workers)
 
     world = simulate(work, num_nodes=4)
     assert len(world.fleet.application.crashes) == 4 * num_workers
-    assert check_innocents(world) == []
+    assert check_false_quarantines(world) == []
 
 
 def test_connections_that_break_while_workers_stay_alive_cause_no_refusals() -> None:
     world = simulate(reset_often, num_nodes=4)
     assert not world.fleet.application.crashes
-    assert check_innocents(world) == []
+    assert check_false_quarantines(world) == []
 
 
 async def reset_often(world: LiveWorld) -> None:
@@ -225,7 +225,7 @@
     world.group.start_soon(world.ordinary_traffic, 60.0, TRAFFIC_S, "often", True)
     for _ in range(4):
         await anyio.sleep(3.5)
-        await world.lose_workers(1)
+        await world.crash_workers(1)
 
 
 async def _always_refuses(self: FleetPort, worker: object) -> ListenerState:
@@ -246,12 +246,12 @@
     "each broken connection is a crash": (
         mock.patch.object(FleetPort, "listener_state", _always_refuses),
         reset_often,
-        check_innocents,
+        check_false_quarantines,
     ),
     "a complete answer clears no suspect": (
         mock.patch.object(Quarantine, "record_complete_answer", lambda self, fingerprint: None),
         lose_often,
-        check_innocents,
+        check_false_quarantines,
     ),
 }
 
--- a/tests/unit/test_failing_workers.py
+++ b/tests/unit/test_failing_workers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from worksramp.logs import configure_logs
-from worksramp_emulator.simulation.batch_troubles import trouble_called
+from worksramp_emulator.simulation.batch_faults import parse_fault
 from worksramp_emulator.simulation.batch_world import BatchWorld, BatchWorldSpec
 from worksramp_emulator.simulation.clock import run_simulated
 
@@ -26,7 +26,7 @@
 
             async def fail() -> None:
                 await anyio.sleep(FAILING_FROM_S)
-                await trouble_called("2 workers fail most of their runs for 6 s")(world)
+                await parse_fault("2 workers fail most of their runs for 6 s")(world)
 
             group.start_soon(fail)
             await world.train(6)
