--- a/src/worksramp_emulator/simulation/batch_checkers.py
+++ b/src/worksramp_emulator/simulation/batch_checkers.py
@@ -3,7 +3,7 @@
 from worksramp.rollout.batches import BatchResult, ResultRecord
 from worksramp.wire import decode
 from worksramp_emulator.batch_fleet import num_events_of, whole_text
-from worksramp_emulator.simulation.batch_world import BatchWorld, StepRecord, call_of
+from worksramp_emulator.simulation.batch_world import BatchWorld, StepRecord, scoring_call_id
 
 #: Items and scoring calls may still reach a worker this long after the end of their batch.
 CANCEL_S = 3.0
@@ -100,7 +100,7 @@
     call = calls.get(result.score.signature)
     if call is None:
         return [f"{place}: no scorer made the score {result.score.signature}"]
-    if call.call_id != call_of(result.item_id):
+    if call.call_id != scoring_call_id(result.item_id):
         return [f"{place}: {result.item_id} has the score of {call.call_id}"]
     if call.at < whole_at(world, result.item_id, result.versions):
         return [f"{place}: {result.item_id} was scored at {call.at} before its text was whole"]
@@ -121,11 +121,11 @@
     """No call goes out before its text is whole, nor after all batches of its item have ended."""
     found: list[str] = []
     for call in world.fleet.calls:
-        steps = [step for step in world.steps if call.call_id in map(call_of, step.item_ids)]
+        steps = [step for step in world.steps if call.call_id in map(scoring_call_id, step.item_ids)]
         if not steps:
             found.append(f"nobody asked for {call.call_id}")
             continue
-        item_id = next(item_id for item_id in steps[0].item_ids if call_of(item_id) == call.call_id)
+        item_id = next(item_id for item_id in steps[0].item_ids if scoring_call_id(item_id) == call.call_id)
         if call.at < whole_at(world, item_id):
             found.append(f"{call.call_id} went out at {call.at} before the text was whole")
         if all(step.ended_at is not None and call.at > step.ended_at + CANCEL_S for step in steps):
--- a/src/worksramp_emulator/simulation/batch_faults.py
+++ b/src/worksramp_emulator/simulation/batch_faults.py
@@ -82,7 +82,7 @@
 
 async def darken_worker(world: BatchWorld, seconds: float) -> None:
     """Have one worker answer nothing for a while."""
-    worker = world.source.choice(sorted(world.fleet.workers.values(), key=lambda w: w.entry.worker_id))
+    worker = world.rng.choice(sorted(world.fleet.workers.values(), key=lambda w: w.entry.worker_id))
     worker.is_dark = True
     await anyio.sleep(seconds)
     worker.is_dark = False
@@ -245,8 +245,8 @@
     """Begin troubles at random moments for a while; the seed decides."""
     ends_at = anyio.current_time() + seconds
     while anyio.current_time() < ends_at:
-        await anyio.sleep(world.source.uniform(0.2, 3.0))
-        pattern, trouble = world.source.choice(TROUBLES)
+        await anyio.sleep(world.rng.uniform(0.2, 3.0))
+        pattern, trouble = world.rng.choice(TROUBLES)
         has_seconds = "(" in pattern
-        arguments = [world.source.uniform(0.5, 6.0)] if has_seconds else []
+        arguments = [world.rng.uniform(0.5, 6.0)] if has_seconds else []
         world.group.start_soon(functools.partial(trouble, world, *arguments))
--- a/src/worksramp_emulator/simulation/batch_world.py
+++ b/src/worksramp_emulator/simulation/batch_world.py
@@ -1,4 +1,4 @@
-"""A simulated deployment of edge nodes, a store, a fleet and a trainer, on the virtual clock."""
+"""Simulates a deployment of edge nodes, a store, workers, scorers and a trainer on the virtual clock."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -39,7 +39,7 @@
 
 
 class EmulatorRecords:
-    """The emulator's own places and encodings of records."""
+    """Partitions and record encodings of the emulated store."""
 
     control = Partition("keyed.control", 0)
     workers = Partition("keyed.workers", 0)
@@ -48,7 +48,7 @@
     progress = Partition("keyed.progress", 0)
 
     def control_event(self, change: Change) -> ControlEvent | None:
-        """Return what a change of configuration or versions means."""
+        """Decode a change of the configuration or of a weight version, or return None for a deletion."""
         if change.value is None:
             return None
         if change.key == "table":
@@ -56,7 +56,7 @@
         return VersionNamed(change.key, decode(change.value, int))
 
     def worker_event(self, change: Change) -> WorkerEvent | None:
-        """Return what a change of a worker's entry means."""
+        """Decode a change of a worker's entry; a deletion means that the worker is gone."""
         if change.value is None:
             return WorkerGone(change.key)
         return WorkerSeen(decode(change.value, WorkerEntry))
@@ -64,30 +64,40 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchWorldSpec:
-    """Size of a simulated deployment."""
+    """Size and settings of a simulated deployment.
+
+    Attributes:
+        num_slots: slots of each worker and scorer.
+        required_group_share: share of a step's groups that the trainer waits for; above 1 it waits until
+            its timeout.
+        needs_one_version: whether the route requires texts generated with a single weight version.
+        status_seconds: time for which results of an ended batch are kept.
+        num_scorers: number of scorers; items have scoring calls only if there are any.
+    """
 
     num_nodes: int = 4
     num_workers: int = 3
     num_slots: int = 8
     num_groups: int = 5
     group_size: int = 4
-    share_wanted: float = 0.8
+    required_group_share: float = 0.8
     needs_one_version: bool = False
     status_seconds: float = 120.0
     num_scorers: int = 0
 
     @property
     def has_scoring(self) -> bool:
-        """Whether each item has a scoring call."""
+        """Whether items have scoring calls."""
         return self.num_scorers > 0
 
 
 @dataclass(slots=True)
 class NodeSlot:
-    """A machine, and the process that runs there now.
+    """A machine and the node process that runs on it.
 
     Attributes:
-        suspended_s: time that the machine was suspended, which its steady clock did not count.
+        suspended_s: total time for which the machine was suspended. The node's ``clock`` includes it; the
+            virtual clock does not.
     """
 
     name: str
@@ -101,9 +111,9 @@
     """One step of the trainer.
 
     Attributes:
-        results: what the trainer read, by position.
-        ended_at: when its end was accepted, None before.
-        seconds: from submission to the last group it waited for, None when it gave up.
+        results: the results that the trainer has read, by position.
+        seconds: time from submission until enough groups were complete, None if the trainer gave up.
+        ended_at: when a node accepted the end of the batch, None before that.
     """
 
     batch_id: str
@@ -117,21 +127,27 @@
 
 
 class BatchWorld:
-    """All parts of one simulated deployment."""
+    """Owns all parts of one simulated deployment.
+
+    Args:
+        spec: size and settings.
+        seed: seeds every random choice of the simulation.
+        group: runs the nodes and background tasks.
+    """
 
     def __init__(self, spec: BatchWorldSpec, seed: int, group: anyio.abc.TaskGroup) -> None:
         self.spec = spec
-        self.source = random.Random(seed)
+        self.rng = random.Random(seed)
         self.records = EmulatorRecords()
         self.group = group
-        self.store = LogStore(self.source, group)
-        self.fleet = BatchFleet(self.source, group)
+        self.store = LogStore(self.rng, group)
+        self.fleet = BatchFleet(self.rng, group)
         self.slots = [NodeSlot(f"node-{number}") for number in range(spec.num_nodes)]
         self.steps: list[StepRecord] = []
         random.seed(seed)
 
     async def start(self) -> None:
-        """Accept the first configuration, start workers and nodes, and wait until all nodes are ready."""
+        """Publish the first configuration, start workers and nodes, and wait until all nodes are ready."""
         self.put(self.records.control, "table", encode(self.table(1)))
         for number in range(self.spec.num_workers):
             self.add_worker(f"worker-{number}")
@@ -144,7 +160,7 @@
                 await anyio.sleep(0.05)
 
     def table(self, version: int) -> RouteTable:
-        """Return the deployment's configuration."""
+        """Return the deployment's route table."""
         route = Route(
             name="drafts",
             host=HOST,
@@ -170,11 +186,11 @@
         return RouteTable(version, (route, scoring), services)
 
     def put(self, partition: Partition, key: str, value: bytes) -> None:
-        """Write a record as the operator, a trainer or a worker would."""
+        """Append a record without a fence, as an operator, a trainer or a worker does."""
         self.store.do_append(partition, (KeyedRecord(key, value),), None, None)
 
     def add_worker(self, worker_id: str) -> FleetWorker:
-        """Start a worker with the newest weights."""
+        """Start a worker that has the newest weights loaded, and write its entry."""
         entry = WorkerEntry(worker_id, SERVICE, f"{worker_id}:1", "zone", self.spec.num_slots)
         worker = FleetWorker(entry, versions={MODEL: self.named_version()})
         self.fleet.add(worker)
@@ -195,7 +211,7 @@
         return worker
 
     def add_scorer(self, worker_id: str) -> FleetWorker:
-        """Start a scorer."""
+        """Start a scorer and write its entry."""
         entry = WorkerEntry(worker_id, SCORER_SERVICE, f"{worker_id}:1", "zone", self.spec.num_slots)
         scorer = FleetWorker(entry, is_scorer=True)
         self.fleet.add(scorer)
@@ -203,31 +219,34 @@
         return scorer
 
     def set_scorer_leaving(self, worker_id: str) -> None:
-        """Have a scorer say that it takes no new work."""
+        """Mark a scorer's entry as draining."""
         entry = replace(self.fleet.workers[worker_id].entry, is_leaving=True)
         self.put(self.records.workers, worker_id, encode(entry))
 
     def restart_worker(self, worker_id: str) -> None:
-        """Have a worker lose power and start again under its id; its former connections fall silent."""
-        former = self.fleet.workers[worker_id]
-        former.is_dark = True
-        started_ms = former.entry.started_ms + 1 + int(1000 * anyio.current_time())
-        entry = replace(former.entry, started_ms=started_ms, model_versions=dict(former.versions))
-        self.fleet.add(FleetWorker(entry, versions=dict(former.versions)))
+        """Simulate a power loss of a worker and its restart under the same id.
+
+        Connections to the previous process are not closed; they receive no more data.
+        """
+        previous = self.fleet.workers[worker_id]
+        previous.is_dark = True
+        started_ms = previous.entry.started_ms + 1 + int(1000 * anyio.current_time())
+        entry = replace(previous.entry, started_ms=started_ms, model_versions=dict(previous.versions))
+        self.fleet.add(FleetWorker(entry, versions=dict(previous.versions)))
         self.put(self.records.workers, worker_id, encode(entry))
 
     def remove_worker(self, worker_id: str) -> None:
-        """Crash a worker and drop its entry."""
+        """Crash a worker and delete its entry."""
         self.fleet.workers[worker_id].is_gone = True
         self.put(self.records.workers, worker_id, b"")
 
     def named_version(self) -> int:
-        """Return the newest version named, 1 before the first."""
+        """Return the newest weight version that the trainer has published, 1 before the first."""
         value = self.store.newest_value(self.records.control, MODEL)
         return 1 if value is None else decode(value, int)
 
     def start_node(self, slot: NodeSlot) -> None:
-        """Start a process on a machine, unless one runs there."""
+        """Start a node process on a machine unless one is running there."""
         if slot.node is not None:
             return
         settings = EdgeSettings(
@@ -253,38 +272,38 @@
             await node.run()
 
     def kill_node(self, slot: NodeSlot) -> None:
-        """End a process at once."""
+        """Kill a node process."""
         if slot.scope is not None:
             slot.scope.cancel()
         slot.node, slot.scope = None, None
 
     async def stop_node(self, slot: NodeSlot) -> None:
-        """Stop a process in order."""
+        """Stop a node process gracefully."""
         if slot.node is not None:
             await slot.node.stop()
         self.kill_node(slot)
 
     def owner(self) -> NodeSlot | None:
-        """Return the machine whose process believes that it owns the shard, None when there is none."""
+        """Return the first machine whose process acts as the owner of the shard, or None."""
         owners = [slot for slot in self.slots if slot.node is not None and slot.node.shard.is_owner]
         return owners[0] if owners else None
 
     async def wait_owner(self) -> NodeSlot:
-        """Wait until some process owns the shard."""
+        """Wait until a process acts as the owner of the shard, and return its machine."""
         while True:
             slot = self.owner()
             if slot is not None:
                 return slot
             await anyio.sleep(0.02)
 
-    def any_node(self) -> EdgeNode | None:
-        """Return a process drawn at random, None when the draw hits a machine that is down."""
-        return self.source.choice(self.slots).node
+    def random_node(self) -> EdgeNode | None:
+        """Return the process of a random machine, or None if that machine is down."""
+        return self.rng.choice(self.slots).node
 
     # The trainer.
 
     async def train(self, num_steps: int, step_timeout_seconds: float = 30.0) -> None:
-        """Ask for steps one after the other, naming a version after each."""
+        """Run steps one after the other and publish a new weight version after each."""
         carried: list[str] = []
         for step in range(num_steps):
             record = await self.run_step(step, carried, step_timeout_seconds)
@@ -295,7 +314,14 @@
     async def run_step(
         self, step: int, carried: list[str], timeout_seconds: float, end: bool = True
     ) -> StepRecord:
-        """Submit a step, read it until enough groups are whole, and end it."""
+        """Submit a step, read its results until enough groups are complete, and end it.
+
+        Args:
+            step: number of the step.
+            carried: ids of items from the previous step that are submitted again.
+            timeout_seconds: time after which the trainer stops reading.
+            end: whether to end the batch.
+        """
         fresh = [f"s{step}g{group}i{number}" for group in range(self.spec.num_groups) for number in range(4)]
         item_ids = tuple(carried + fresh[: self.spec.num_groups * self.spec.group_size - len(carried)])
         record = StepRecord(f"batch{step}", step, max(1, step - 1), item_ids, anyio.current_time())
@@ -324,13 +350,13 @@
             record.min_version,
         )
         while True:
-            node = self.any_node()
+            node = self.random_node()
             if node is not None and isinstance(await node.batches.submit(header, items, 0.1), Accepted):
                 return
             await anyio.sleep(RETRY_PAUSE_SECONDS)
 
     def _item(self, item_id: str) -> BatchItem:
-        call = ScoringCall(call_of(item_id), SCORER_HOST, f"{SCORER_PREFIX}x", b"text")
+        call = ScoringCall(scoring_call_id(item_id), SCORER_HOST, f"{SCORER_PREFIX}x", b"text")
         return BatchItem(
             item_id,
             f"{PREFIX}x",
@@ -341,7 +367,7 @@
         )
 
     async def _read(self, record: StepRecord) -> None:
-        node = self.any_node()
+        node = self.random_node()
         if node is not None:
             page = await node.batches.read(record.batch_id, len(record.results), READ_PAUSE_SECONDS)
             if isinstance(page, ResultPage):
@@ -351,7 +377,7 @@
 
     async def _end(self, record: StepRecord) -> None:
         while True:
-            node = self.any_node()
+            node = self.random_node()
             if node is not None and isinstance(await node.batches.end(record.batch_id, 0.1), Accepted):
                 record.ended_at = anyio.current_time()
                 return
@@ -359,14 +385,14 @@
 
     def _has_enough(self, record: StepRecord) -> bool:
         groups = {group_of(item_id) for item_id in record.item_ids}
-        whole = len(groups) - len({group_of(item_id) for item_id in self._unlisted(record)})
-        return whole >= self.spec.share_wanted * len(groups)
+        num_complete = len(groups) - len({group_of(item_id) for item_id in self._unlisted(record)})
+        return num_complete >= self.spec.required_group_share * len(groups)
 
     def _unlisted(self, record: StepRecord) -> set[str]:
         return set(record.item_ids) - {result.item_id for result in record.results.values()}
 
     def _incomplete_items(self, record: StepRecord) -> list[str]:
-        """Return the items of one group that was not whole, to come back in the next step."""
+        """Return the items of one incomplete group, which the next step submits again."""
         unlisted = self._unlisted(record)
         if not unlisted:
             return []
@@ -375,10 +401,10 @@
 
 
 def group_of(item_id: str) -> str:
-    """Return an item's group."""
+    """Return the group of an item."""
     return item_id.rpartition("i")[0]
 
 
-def call_of(item_id: str) -> str:
+def scoring_call_id(item_id: str) -> str:
     """Return the id of an item's scoring call."""
     return f"call-{item_id}"
--- a/tests/steps/test_batches.py
+++ b/tests/steps/test_batches.py
@@ -16,7 +16,12 @@
     parse_fault,
     scorers,
 )
-from worksramp_emulator.simulation.batch_world import TRAIN_SECONDS, BatchWorld, BatchWorldSpec, call_of
+from worksramp_emulator.simulation.batch_world import (
+    TRAIN_SECONDS,
+    BatchWorld,
+    BatchWorldSpec,
+    scoring_call_id,
+)
 from worksramp_emulator.simulation.clock import run_simulated
 from worksramp_emulator.simulation.scoring_mutations import SCORING_MISTAKES, Mistake
 
@@ -29,7 +34,7 @@
     seed: int = 7
     troubles: list[tuple[float, Trouble]] = field(default_factory=list)
     drawn_seconds: float = 0.0
-    share_wanted: float | None = None
+    required_group_share: float | None = None
     mistake: Mistake = contextlib.nullcontext
     world: BatchWorld | None = None
 
@@ -106,7 +111,7 @@
 def bad_call(plan: Plan, item: str) -> None:
     async def spoil(world: BatchWorld) -> None:
         for scorer in scorers(world):
-            scorer.failing_items.add(call_of(item))
+            scorer.failing_items.add(scoring_call_id(item))
 
     plan.troubles.append((0.0, spoil))
 
@@ -130,7 +135,7 @@
 
 @when(parsers.parse("a trainer asks for a step and waits {seconds:d} seconds for all of it"))
 def ask_one_step(plan: Plan, seconds: int) -> None:
-    plan.spec = replace(plan.spec, share_wanted=1.1)
+    plan.spec = replace(plan.spec, required_group_share=1.1)
 
     async def work(world: BatchWorld) -> None:
         await world.run_step(0, [], seconds)
@@ -140,7 +145,7 @@
 
 @when(parsers.parse("a trainer asks for a step, gives up after {seconds:f} seconds and asks again"))
 def ask_twice(plan: Plan, seconds: float) -> None:
-    plan.spec = replace(plan.spec, share_wanted=1.1)
+    plan.spec = replace(plan.spec, required_group_share=1.1)
 
     async def work(world: BatchWorld) -> None:
         first = await world.run_step(0, [], seconds)
@@ -157,7 +162,7 @@
     )
 )
 def ask_and_end(plan: Plan, seconds: float, later: int) -> None:
-    plan.spec = replace(plan.spec, share_wanted=1.1)
+    plan.spec = replace(plan.spec, required_group_share=1.1)
 
     async def work(world: BatchWorld) -> None:
         await world.run_step(0, [], seconds)
@@ -229,7 +234,7 @@
 
 @then(parsers.parse("the scoring call of item {item} was sent {count:d} times"))
 def call_sent(plan: Plan, item: str, count: int) -> None:
-    assert len([call for call in plan.played.fleet.calls if call.call_id == call_of(item)]) == count
+    assert len([call for call in plan.played.fleet.calls if call.call_id == scoring_call_id(item)]) == count
 
 
 @then(parsers.parse("item {item} is listed as given up"))
