--- a/tests/steps/test_batches.py
+++ b/tests/steps/test_batches.py
@@ -1,4 +1,4 @@
-"""Steps of ``batches.feature``: each scenario collects troubles and then runs them in one simulation."""
+"""Steps of ``batches.feature``: each scenario collects faults and then runs them in one simulation."""
 
 import contextlib
 from dataclasses import dataclass, field, replace
@@ -10,9 +10,9 @@
 from worksramp_emulator.batch_fleet import num_events_of
 from worksramp_emulator.simulation.batch_checkers import check_all
 from worksramp_emulator.simulation.batch_faults import (
-    Trouble,
-    draw_troubles,
-    later,
+    Action,
+    draw_faults,
+    inject_after,
     parse_fault,
     scorers,
 )
@@ -32,23 +32,23 @@
 class Plan:
     spec: BatchWorldSpec = field(default_factory=BatchWorldSpec)
     seed: int = 7
-    troubles: list[tuple[float, Trouble]] = field(default_factory=list)
+    faults: list[tuple[float, Action]] = field(default_factory=list)
     drawn_seconds: float = 0.0
     required_group_share: float | None = None
     mistake: Mistake = contextlib.nullcontext
     world: BatchWorld | None = None
 
-    def run(self, work: Trouble) -> BatchWorld:
+    def run(self, work: Action) -> BatchWorld:
         configure_logs("error")
 
         async def main() -> BatchWorld:
             async with anyio.create_task_group() as group:
                 world = BatchWorld(self.spec, self.seed, group)
                 await world.start()
-                for at, trouble in self.troubles:
-                    group.start_soon(later, at, trouble, world)
+                for at, fault in self.faults:
+                    group.start_soon(inject_after, at, fault, world)
                 if self.drawn_seconds:
-                    group.start_soon(draw_troubles, world, self.drawn_seconds)
+                    group.start_soon(draw_faults, world, self.drawn_seconds)
                 await work(world)
                 group.cancel_scope.cancel()
             return world
@@ -98,12 +98,12 @@
 
 
 @given(parsers.re(r"(?P<text>.+) at (?P<at>\d+) seconds"))
-def trouble_at(plan: Plan, text: str, at: str) -> None:
-    plan.troubles.append((float(at), parse_fault(text)))
+def fault_at(plan: Plan, text: str, at: str) -> None:
+    plan.faults.append((float(at), parse_fault(text)))
 
 
 @given(parsers.parse("drawn troubles for {seconds:d} seconds"))
-def drawn_troubles(plan: Plan, seconds: int) -> None:
+def drawn_faults(plan: Plan, seconds: int) -> None:
     plan.drawn_seconds = seconds
 
 
@@ -113,7 +113,7 @@
         for scorer in scorers(world):
             scorer.failing_items.add(scoring_call_id(item))
 
-    plan.troubles.append((0.0, spoil))
+    plan.faults.append((0.0, spoil))
 
 
 @given(parsers.re(r"item (?P<item>\S+) (?P<how>fails at each run|can never be done)"))
@@ -122,7 +122,7 @@
         for worker in world.fleet.workers.values():
             (worker.failing_items if "fails" in how else worker.impossible_items).add(item)
 
-    plan.troubles.append((0.0, spoil))
+    plan.faults.append((0.0, spoil))
 
 
 @when(parsers.parse("a trainer asks for {count:d} steps"))
