--- a/src/worksramp_emulator/simulation/live_checkers.py
+++ b/src/worksramp_emulator/simulation/live_checkers.py
@@ -1,43 +1,43 @@
-"""What must hold of live requests over the whole record of a simulated deployment."""
+"""Checks live requests over the record of a simulated deployment."""
 
-from worksramp_emulator.simulation.live_world import CONTACT_S, LiveWorld
+from worksramp_emulator.simulation.live_world import UNDISTURBED_AFTER_S, LiveWorld
 
-#: Workers that one request may end before it must be stopped. Source: the users' bound on crashes.
+#: Workers that one request may crash before nodes must refuse it. Source: the users' bound on crashes.
 MAX_CRASHES = 3
-#: Sends that are borne after that, by nodes that had the time to know.
+#: Runs tolerated after that at nodes that had time to receive the crash records.
 MAX_LATE_RUNS = 3
-#: Outcome of a try that was refused for the crashes under its request.
+#: Outcome of an attempt that was refused because its request is quarantined.
 QUARANTINED = "Quarantined"
 
 
 def check_crash_bound(world: LiveWorld) -> list[str]:
-    """A request that ends workers reaches few more of them once it has ended three."""
+    """Check that a request reaches at most ``MAX_LATE_RUNS`` more workers after it has crashed three."""
     record = world.fleet.application
     found: list[str] = []
     for target in sorted(record.killing_targets):
-        ended = sorted(crash.at for crash in record.crashes if crash.target == target)
-        if len(ended) < MAX_CRASHES:
+        crashed = sorted(crash.at for crash in record.crashes if crash.target == target)
+        if len(crashed) < MAX_CRASHES:
             continue
-        known_at = ended[MAX_CRASHES - 1] + CONTACT_S
+        spread_at = crashed[MAX_CRASHES - 1] + UNDISTURBED_AFTER_S
         late = [
             run
             for run in record.runs
-            if run.target == target and run.at > known_at and world.was_in_touch(run.node, run.at)
+            if run.target == target and run.at > spread_at and world.was_undisturbed(run.node, run.at)
         ]
         if len(late) > MAX_LATE_RUNS:
             found.append(
-                f"{target.decode()} reached workers {len(late)} times more after it had ended "
-                f"{MAX_CRASHES}; {len(ended)} ended in all"
+                f"{target.decode()} reached workers {len(late)} times more after it had crashed "
+                f"{MAX_CRASHES}; {len(crashed)} crashed in all"
             )
     return found
 
 
 def check_false_quarantines(world: LiveWorld) -> list[str]:
-    """No request that ends no worker is refused for the crashes of others."""
+    """Check that no request is quarantined that crashes no worker itself."""
     killing = world.fleet.application.killing_targets
-    innocent = [caller_try for caller_try in world.tries if caller_try.target not in killing]
-    refused = [caller_try for caller_try in innocent if caller_try.outcome == QUARANTINED]
+    harmless = [attempt for attempt in world.attempts if attempt.target not in killing]
+    refused = [attempt for attempt in harmless if attempt.outcome == QUARANTINED]
     if not refused:
         return []
     first = refused[0].target.decode()
-    return [f"{len(refused)} of {len(innocent)} tries of innocents were refused, first {first}"]
+    return [f"{len(refused)} of {len(harmless)} attempts of harmless requests were refused, first {first}"]
