--- a/src/worksramp_emulator/simulation/batch_faults.py
+++ b/src/worksramp_emulator/simulation/batch_faults.py
@@ -179,7 +179,7 @@
 async def drain_scorer(world: BatchWorld) -> None:
     """Drain a scorer, start another one, and then remove the first."""
     scorer = scorers(world)[0]
-    world.set_scorer_leaving(scorer.entry.worker_id)
+    world.set_scorer_draining(scorer.entry.worker_id)
     world.add_scorer(f"{scorer.entry.worker_id}-again")
     await anyio.sleep(3.0)
     world.remove_worker(scorer.entry.worker_id)
--- a/src/worksramp_emulator/simulation/batch_world.py
+++ b/src/worksramp_emulator/simulation/batch_world.py
@@ -218,7 +218,7 @@
         self.put(self.records.workers, worker_id, encode(entry))
         return scorer
 
-    def set_scorer_leaving(self, worker_id: str) -> None:
+    def set_scorer_draining(self, worker_id: str) -> None:
         """Mark a scorer's entry as draining."""
         entry = replace(self.fleet.workers[worker_id].entry, is_leaving=True)
         self.put(self.records.workers, worker_id, encode(entry))
