--- a/src/worksramp_emulator/simulation/live_checkers.py
+++ b/src/worksramp_emulator/simulation/live_checkers.py
@@ -1,4 +1,7 @@
-"""Checks live requests over the record of a simulated deployment."""
+"""Checks the record of a simulated deployment for violations of the properties of live requests.
+
+Each checker returns the violations that it found, as sentences.
+"""
 
 from worksramp_emulator.simulation.live_world import UNDISTURBED_AFTER_S, LiveWorld
 
