--- a/src/worksramp_emulator/simulation/clients.py
+++ b/src/worksramp_emulator/simulation/clients.py
@@ -1,4 +1,4 @@
-"""In-process twins of the platform clients: the stand-ins' cores behind the simulated network."""
+"""Platform clients that reach the emulated platform services over the simulated network."""
 
 import random
 from collections.abc import AsyncGenerator, Callable
@@ -43,10 +43,14 @@
 
 
 class SimulatedLog(LogClient):
-    """The log as one host reaches it.
-
-    Attributes:
-        late_share: share of appends that take effect only after the client has given up on them.
+    """Log client of one host.
+
+    Args:
+        core: the emulated log.
+        source: host of the client.
+        target: host of the log.
+        late_share: returns the share of appends that get no reply and may take effect after the client
+            timed out.
     """
 
     def __init__(
@@ -96,12 +100,17 @@
         try:
             await self._core.append(stream, record)
         except StepError:
-            # Nobody waits for this reply any more; a log that is down has lost the request for good.
+            # The client has stopped waiting. If the log is down, the append is lost.
             return
 
 
 class SimulatedEngines(EngineClient):
-    """The engines as one host reaches them."""
+    """Engine client of one host.
+
+    Args:
+        cores: emulated engines by address.
+        hosts: their hosts by address.
+    """
 
     def __init__(
         self, cores: dict[str, EngineCore], hosts: dict[str, Host], source: Host, network: SimulatedNetwork
@@ -110,36 +119,36 @@
         self._hosts = hosts
         self._source = source
         self._network = network
-        self._last_foreign: GenerationChunk | None = None
+        self._last_chunk: GenerationChunk | None = None
 
     async def generate(self, address: str, request: GenerateRequest) -> AsyncGenerator[GenerationChunk, None]:
         """See `EngineClient.generate`."""
-        await self._source.gate()
+        await self._source.wait_until_thawed()
         target = self._hosts[address]
-        if self._network.is_cut(self._source.name, target.name):
+        if self._network.is_partitioned(self._source.name, target.name):
             await anyio.sleep(1.0)
             raise NotStartedError("engine.generate", address, "cannot connect")
-        await self._network.travel()
+        await self._network.wait_one_way_delay()
         async with aclosing(self._cores[address].generate(request)) as chunks:
             async for chunk in chunks:
-                await self._source.gate()
-                for stray in self._strays(chunk):
+                await self._source.wait_until_thawed()
+                for stray in self._stray_chunks(chunk):
                     yield stray
-                if self._network.is_cut(target.name, self._source.name):
+                if self._network.is_partitioned(target.name, self._source.name):
                     await anyio.sleep(CALL_TIMEOUT_SECONDS)
                     raise InterruptedStepError("engine.generate", address, "no chunk came")
                 yield chunk
 
-    def _strays(self, chunk: GenerationChunk) -> list[GenerationChunk]:
-        """Return chunks that arrive out of place before this one: the last one again, or a foreign one."""
+    def _stray_chunks(self, chunk: GenerationChunk) -> list[GenerationChunk]:
+        """Return chunks to deliver before this one: a duplicate of it, or the last chunk of any stream."""
         share = self._network.profile.chunk_fault_share
-        drawn = self._network.draw_chunk_trouble()
+        drawn = self._network.draw_chunk_fault()
         strays: list[GenerationChunk] = []
-        if drawn < share and self._last_foreign is not None:
-            strays.append(self._last_foreign)
+        if drawn < share and self._last_chunk is not None:
+            strays.append(self._last_chunk)
         elif drawn < 2 * share:
             strays.append(msgspec.structs.replace(chunk, is_final=False))
-        self._last_foreign = chunk
+        self._last_chunk = chunk
         return strays
 
     async def report(self, address: str) -> WorkerReport:
@@ -164,7 +173,12 @@
 
 
 class SimulatedApplications(ApplicationClient):
-    """The application workers as one host reaches them."""
+    """Application client of one host.
+
+    Args:
+        cores: emulated application workers by address.
+        hosts: their hosts by address.
+    """
 
     def __init__(
         self,
@@ -200,7 +214,7 @@
 
 
 class SimulatedStore(WeightStoreClient):
-    """The weight store as one host reaches it."""
+    """Weight store client of one host."""
 
     def __init__(self, core: WeightStoreCore, source: Host, target: Host, network: SimulatedNetwork) -> None:
         self._core = core
@@ -220,7 +234,7 @@
 
 
 class SimulatedMachineList(MachineListClient):
-    """The machine list as one host reaches it."""
+    """Machine list client of one host."""
 
     def __init__(self, core: MachineListCore, source: Host, target: Host, network: SimulatedNetwork) -> None:
         self._core = core
@@ -236,7 +250,7 @@
 
 
 class SimulatedScorer(ScorerClient):
-    """The scoring service as one host reaches it."""
+    """Scorer client of one host."""
 
     def __init__(self, core: ScorerCore, source: Host, target: Host, network: SimulatedNetwork) -> None:
         self._core = core
@@ -256,7 +270,14 @@
 
 
 class PlatformCores:
-    """All stand-ins of one simulated world, and the hosts they stand on."""
+    """All emulated platform services of one simulated deployment, and their hosts.
+
+    Attributes:
+        engines: engines by address.
+        applications: application workers by address.
+        worker_hosts: hosts of engines and application workers by address.
+        late_append_share: see `SimulatedLog`.
+    """
 
     def __init__(self, log: LogCore, store: WeightStoreCore, machine_list: MachineListCore) -> None:
         self.log = log
@@ -273,7 +294,7 @@
     def clients_for(
         self, source: Host, network: SimulatedNetwork, group: anyio.abc.TaskGroup, rng: random.Random
     ) -> Platform:
-        """Return the platform as one host reaches it."""
+        """Return the platform clients of one host."""
         log = SimulatedLog(
             self.log, source, self.log_host, network, group, rng, lambda: self.late_append_share
         )
--- a/src/worksramp_emulator/simulation/fault_runner.py
+++ b/src/worksramp_emulator/simulation/fault_runner.py
@@ -1,4 +1,4 @@
-"""Applies faults to a simulated world."""
+"""Applies faults to a simulated deployment."""
 
 import anyio
 import msgspec
@@ -28,11 +28,11 @@
 from worksramp_emulator.simulation.world import Slot, World
 from worksramp_emulator.simulation.world_spec import JOB, TENANT
 
-MIN_LIVE_WORKERS = 2
+MIN_ACTIVE_ENGINES = 2
 
 
 async def run_schedule(world: World, schedule: list[ScheduledFault]) -> None:
-    """Apply every fault at its time and return once all are over."""
+    """Apply each fault at its time and return when all of them are over."""
     started_at = anyio.current_time()
     async with anyio.create_task_group() as group:
         for item in sorted(schedule, key=lambda scheduled: scheduled.at):
@@ -41,7 +41,7 @@
 
 
 async def apply_fault(world: World, fault: Fault) -> None:
-    """Apply one fault and return once it is over."""
+    """Record one fault, apply it and return when it is over."""
     world.history.add(FaultApplied(anyio.current_time(), msgspec.json.encode(fault).decode()))
     match fault:
         case KillNode():
@@ -51,13 +51,13 @@
         case StopNode():
             await _stop(world, world.slots[fault.slot])
         case CutNode() | CutLog() | CutZone():
-            await _cut(world, _cut_pairs(world, fault), fault.seconds)
+            await _partition(world, _partitioned_pairs(world, fault), fault.seconds)
         case LogOutage() | SlowLog() | LoseLogReplies() | DelayAppends():
-            await _trouble_log(world, fault)
+            await _apply_log_fault(world, fault)
         case CrashEngine() | FailLoad() | LeaveEngine() | LoseReports():
-            await _trouble_engine(world, fault)
+            await _apply_engine_fault(world, fault)
         case LeaveApplication() | LoseApplicationReplies():
-            _trouble_application(world, fault)
+            _apply_application_fault(world, fault)
         case RaceOperators():
             await _race(world, fault.num_operators)
 
@@ -98,7 +98,7 @@
         world.start_node(slot)
 
 
-def _cut_pairs(world: World, fault: CutNode | CutLog | CutZone) -> list[tuple[str, str]]:
+def _partitioned_pairs(world: World, fault: CutNode | CutLog | CutZone) -> list[tuple[str, str]]:
     if isinstance(fault, CutLog):
         own, log = world.slots[fault.slot].name, world.cores.log_host.name
         return [(own, log), (log, own)]
@@ -118,15 +118,15 @@
     return pairs + [(b, a) for a, b in pairs]
 
 
-async def _cut(world: World, pairs: list[tuple[str, str]], seconds: float) -> None:
+async def _partition(world: World, pairs: list[tuple[str, str]], seconds: float) -> None:
     for source, target in pairs:
-        world.network.cut(source, target)
+        world.network.partition(source, target)
     await anyio.sleep(seconds)
     for source, target in pairs:
         world.network.heal(source, target)
 
 
-async def _trouble_log(world: World, fault: LogOutage | SlowLog | LoseLogReplies | DelayAppends) -> None:
+async def _apply_log_fault(world: World, fault: LogOutage | SlowLog | LoseLogReplies | DelayAppends) -> None:
     faults = world.cores.log.faults
     match fault:
         case LogOutage():
@@ -145,7 +145,9 @@
             world.cores.late_append_share = 0.0
 
 
-async def _trouble_engine(world: World, fault: CrashEngine | FailLoad | LeaveEngine | LoseReports) -> None:
+async def _apply_engine_fault(
+    world: World, fault: CrashEngine | FailLoad | LeaveEngine | LoseReports
+) -> None:
     engines = list(world.cores.engines.values())
     engine = engines[fault.engine]
     match fault:
@@ -162,14 +164,14 @@
             await anyio.sleep(fault.seconds)
             engine.are_reports_lost = False
         case LeaveEngine():
-            if sum(1 for item in engines if not item.is_leaving) <= MIN_LIVE_WORKERS or engine.is_leaving:
+            if sum(1 for item in engines if not item.is_leaving) <= MIN_ACTIVE_ENGINES or engine.is_leaving:
                 return
             engine.leave()
             world.history.add(WorkerLeft(anyio.current_time(), engine.engine_id))
-            _list_as_leaving(world, engine.engine_id)
+            _list_as_draining(world, engine.engine_id)
 
 
-def _trouble_application(world: World, fault: LeaveApplication | LoseApplicationReplies) -> None:
+def _apply_application_fault(world: World, fault: LeaveApplication | LoseApplicationReplies) -> None:
     workers = list(world.cores.applications.values())
     worker = workers[fault.worker]
     if isinstance(fault, LoseApplicationReplies):
@@ -179,10 +181,10 @@
         return
     worker.is_leaving = True
     world.history.add(WorkerLeft(anyio.current_time(), worker.worker_id))
-    _list_as_leaving(world, worker.worker_id)
+    _list_as_draining(world, worker.worker_id)
 
 
-def _list_as_leaving(world: World, machine_id: str) -> None:
+def _list_as_draining(world: World, machine_id: str) -> None:
     machine_list = world.cores.machine_list
     machine_list.set_machines(
         tuple(
@@ -193,7 +195,7 @@
 
 
 async def _race(world: World, num_operators: int) -> None:
-    """Let operators publish from the same revision at once; only one may win."""
+    """Publish changes from the same revision concurrently; at most one may be accepted."""
     slots = world.live_slots()
     if not slots or slots[0].node is None:
         return
--- a/src/worksramp_emulator/simulation/host.py
+++ b/src/worksramp_emulator/simulation/host.py
@@ -1,4 +1,4 @@
-"""A simulated machine: it can be killed, frozen and thawed."""
+"""Simulates the host of one process, which can be killed, frozen and thawed."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -12,14 +12,20 @@
 
 
 class Host:
-    """Where one process runs.
+    """Host of one process.
 
-    A frozen host's tasks stop at the next seam (network, platform or timer answer) and go on from
-    there when it is thawed, unaware of the time that has passed.
+    While a host is frozen, each of its tasks waits in its next call to the network or the platform. The
+    task resumes there when the host is thawed and is not notified of the time that has passed.
+    Requests to a frozen host wait as well.
 
     Args:
         name: name on the network.
-        zone: the zone it stands in.
+        zone: zone of the host.
+
+    Attributes:
+        num_serving: number of requests in flight.
+        num_aborted: number of requests that were in flight when the process ended.
+        group: runs the tasks of the process, None before it has started.
     """
 
     def __init__(self, name: str, zone: str) -> None:
@@ -27,45 +33,45 @@
         self.zone = zone
         self.is_alive = True
         self.num_serving = 0
-        self.num_cut = 0
+        self.num_aborted = 0
         self.group: anyio.abc.TaskGroup | None = None
         self._died = anyio.Event()
         self._thawed: anyio.Event | None = None
 
     @property
     def is_frozen(self) -> bool:
-        """Whether the host stands still."""
+        """Whether the host is frozen."""
         return self._thawed is not None
 
     def freeze(self) -> None:
-        """Stop all progress."""
+        """Freeze the host."""
         self._thawed = self._thawed or anyio.Event()
 
     def thaw(self) -> None:
-        """Go on."""
+        """Resume a frozen host; do nothing if it is not frozen."""
         if self._thawed is not None:
             self._thawed.set()
             self._thawed = None
 
-    def die(self) -> None:
-        """Note that the process is gone; whoever waits for it learns at once."""
+    def mark_dead(self) -> None:
+        """Mark the process as ended and fail the requests in flight."""
         if self.is_alive:
-            self.num_cut = self.num_serving
+            self.num_aborted = self.num_serving
         self.is_alive = False
         self._died.set()
         self.thaw()
 
-    async def gate(self) -> None:
-        """Wait while the host is frozen."""
+    async def wait_until_thawed(self) -> None:
+        """Return as soon as the host is not frozen."""
         while self._thawed is not None:
             await self._thawed.wait()
 
     async def serve(self, step: str, work: Callable[[], Awaitable[ResultT]]) -> ResultT:
-        """Run work in this host's process on behalf of a caller elsewhere.
+        """Run work in the process of this host for a caller on another host, and return its result.
 
         Raises:
-            NotStartedError: the host is down.
-            InterruptedStepError: it died before the work was done.
+            NotStartedError: the process is not running.
+            InterruptedStepError: the process ended before the work was done.
         """
         if not self.is_alive or self.group is None:
             raise NotStartedError(step, self.name, "connection refused")
@@ -75,10 +81,10 @@
 
         async def run() -> None:
             try:
-                await self.gate()
+                await self.wait_until_thawed()
                 results.append(await work())
             except Exception as error:
-                # It belongs to the caller, not to this host's process.
+                # Raised in the caller, so that it does not cancel the tasks of this process.
                 errors.append(error)
             done.set()
 
--- a/src/worksramp_emulator/simulation/network.py
+++ b/src/worksramp_emulator/simulation/network.py
@@ -1,4 +1,4 @@
-"""In-process network: delay, loss, duplication, reordering, and cuts in either direction."""
+"""Simulates the network in one process: delay, loss, duplication, reordering and one-way partitions."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -18,14 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkProfile:
-    """How the network behaves.
+    """Delays and fault rates of the network.
 
     Attributes:
-        one_way_seconds: least delay; up to as much again is added at random, which reorders.
+        one_way_seconds: minimum one-way delay. A random delay of up to the same length is added, so messages
+            can be reordered.
         loss_share: share of datagrams lost.
-        duplication_share: share of datagrams that arrive twice.
-        chunk_fault_share: share of stream chunks after which an older chunk of the stream, or one of
-            another stream, arrives.
+        duplication_share: share of datagrams that are delivered twice.
+        chunk_fault_share: share of stream chunks that are delivered twice. Before the same share of
+            chunks, the chunk that the client received last, from any stream, is delivered again.
     """
 
     one_way_seconds: float = 0.001
@@ -35,55 +36,56 @@
 
 
 class SimulatedNetwork:
-    """Connects hosts by address.
+    """Connects the transports of all hosts.
 
     Args:
-        group: runs deliveries.
-        rng: seeded source of delays and losses.
+        group: runs the deliveries of datagrams.
+        rng: seeded source of delays and faults.
+        profile: delays and fault rates.
     """
 
     def __init__(self, group: anyio.abc.TaskGroup, rng: random.Random, profile: NetworkProfile) -> None:
         self.profile = profile
         self._group = group
         self._rng = rng
-        self._cuts: set[tuple[str, str]] = set()
-        self._ends: dict[str, SimulatedTransport] = {}
+        self._partitions: set[tuple[str, str]] = set()
+        self._transports: dict[str, SimulatedTransport] = {}
 
-    def cut(self, source: str, target: str) -> None:
-        """Lose all that goes from one host to another."""
-        self._cuts.add((source, target))
+    def partition(self, source: str, target: str) -> None:
+        """Drop everything that one host sends to another."""
+        self._partitions.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
-        """Undo `cut`."""
-        self._cuts.discard((source, target))
+        """Undo `partition`."""
+        self._partitions.discard((source, target))
 
-    def is_cut(self, source: str, target: str) -> bool:
-        """Return whether nothing passes from one host to another."""
-        return (source, target) in self._cuts
+    def is_partitioned(self, source: str, target: str) -> bool:
+        """Return whether messages from one host to another are dropped."""
+        return (source, target) in self._partitions
 
-    def draw_chunk_trouble(self) -> float:
-        """Return a number below `chunk_fault_share` if a stray chunk is to arrive now."""
+    def draw_chunk_fault(self) -> float:
+        """Return a random number in [0, 1) that decides which stray chunk, if any, arrives now."""
         return self._rng.random()
 
-    async def travel(self) -> None:
-        """Wait as long as one message takes one way."""
+    async def wait_one_way_delay(self) -> None:
+        """Wait for the one-way delay of a message."""
         await anyio.sleep(self.profile.one_way_seconds * (1.0 + self._rng.random()))
 
-    def attach(self, end: "SimulatedTransport") -> None:
+    def attach(self, transport: "SimulatedTransport") -> None:
         """Make a transport reachable."""
-        self._ends[end.address] = end
+        self._transports[transport.address] = transport
 
-    def detach(self, end: "SimulatedTransport") -> None:
-        """Make a transport unreachable, unless a newer one has its address."""
-        if self._ends.get(end.address) is end:
-            del self._ends[end.address]
+    def detach(self, transport: "SimulatedTransport") -> None:
+        """Make a transport unreachable, unless a newer one has taken over its address."""
+        if self._transports.get(transport.address) is transport:
+            del self._transports[transport.address]
 
-    def end_at(self, address: str) -> "SimulatedTransport | None":
-        """Return the transport at an address."""
-        return self._ends.get(address)
+    def transport_at(self, address: str) -> "SimulatedTransport | None":
+        """Return the transport at an address, or None."""
+        return self._transports.get(address)
 
-    def post(self, source: Host, address: str, payload: bytes) -> None:
-        """Send a datagram: lost, once, or twice."""
+    def send_datagram(self, source: Host, address: str, payload: bytes) -> None:
+        """Send a datagram, which may be lost or duplicated."""
         if self._rng.random() < self.profile.loss_share:
             return
         num_copies = 2 if self._rng.random() < self.profile.duplication_share else 1
@@ -91,14 +93,18 @@
             self._group.start_soon(self._deliver, source, address, payload)
 
     async def _deliver(self, source: Host, address: str, payload: bytes) -> None:
-        await self.travel()
-        end = self._ends.get(address)
-        if end is None or not end.host.is_alive or self.is_cut(source.name, end.host.name):
+        await self.wait_one_way_delay()
+        transport = self._transports.get(address)
+        if (
+            transport is None
+            or not transport.host.is_alive
+            or self.is_partitioned(source.name, transport.host.name)
+        ):
             return
-        if end.host.is_frozen:
-            # A frozen host's socket buffer holds little; what overflows is lost, so take it as lost.
+        if transport.host.is_frozen:
+            # The socket buffer of a frozen host is small and overflows, so the datagram counts as lost.
             return
-        await end.take_datagram(payload)
+        await transport.handle_datagram(payload)
 
     async def exchange(
         self,
@@ -108,36 +114,38 @@
         timeout_seconds: float,
         effect: Callable[[], Awaitable[ResultT]],
     ) -> ResultT:
-        """Make one request and return its answer, with everything the network may do to either.
+        """Send one request over the simulated network and return its reply.
+
+        Either may be delayed or dropped.
 
         Raises:
             NotStartedError: no connection could be made.
-            InterruptedStepError: no answer came; the effect may have taken place.
+            InterruptedStepError: no reply came in time; the effect may have taken place.
         """
-        await source.gate()
-        if self.is_cut(source.name, target.name):
+        await source.wait_until_thawed()
+        if self.is_partitioned(source.name, target.name):
             await anyio.sleep(CONNECT_TIMEOUT_SECONDS)
             raise NotStartedError(step, target.name, "cannot connect: timed out")
         outcome: ResultT | StepError | None = None
         with anyio.move_on_after(timeout_seconds):
-            await self.travel()
+            await self.wait_one_way_delay()
             try:
                 outcome = await effect()
             except StepError as error:
                 outcome = error
-            if self.is_cut(target.name, source.name):
+            if self.is_partitioned(target.name, source.name):
                 await anyio.sleep_forever()
-            await self.travel()
-            await source.gate()
+            await self.wait_one_way_delay()
+            await source.wait_until_thawed()
             if isinstance(outcome, StepError):
                 raise outcome
             return outcome
-        await source.gate()
+        await source.wait_until_thawed()
         raise InterruptedStepError(step, target.name, f"no reply in {timeout_seconds:.1f} s")
 
 
 class SimulatedTransport(Transport):
-    """In-process twin of the node-to-node transport."""
+    """Transport between nodes over the simulated network."""
 
     def __init__(self, address: str, host: Host, network: SimulatedNetwork) -> None:
         self.address = address
@@ -148,17 +156,17 @@
 
     async def send(self, address: str, payload: bytes) -> None:
         """See `Transport.send`."""
-        await self.host.gate()
-        self._network.post(self.host, address, payload)
+        await self.host.wait_until_thawed()
+        self._network.send_datagram(self.host, address, payload)
 
     async def call(self, address: str, payload: bytes, timeout_seconds: float) -> bytes:
         """See `Transport.call`."""
-        await self.host.gate()
-        end = self._network.end_at(address)
-        if end is None:
-            await self._network.travel()
+        await self.host.wait_until_thawed()
+        found = self._network.transport_at(address)
+        if found is None:
+            await self._network.wait_one_way_delay()
             raise NotStartedError("transport.call", address, "connection refused")
-        target = end
+        target = found
 
         async def effect() -> bytes:
             return await target.host.serve("transport.call", lambda: target.answer(payload))
@@ -175,12 +183,12 @@
         finally:
             self._network.detach(self)
 
-    async def take_datagram(self, payload: bytes) -> None:
-        """Hand a datagram to the node."""
+    async def handle_datagram(self, payload: bytes) -> None:
+        """Start the node's handler for a datagram."""
         if self._on_datagram is not None and self.host.group is not None:
             self.host.group.start_soon(self._on_datagram, payload)
 
     async def answer(self, payload: bytes) -> bytes:
-        """Have the node answer a call."""
+        """Run the node's handler for a call and return its reply."""
         assert self._on_call is not None
         return await self._on_call(payload)
--- a/src/worksramp_emulator/simulation/world.py
+++ b/src/worksramp_emulator/simulation/world.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: nodes, back ends, platform, callers and trainers on one virtual clock."""
+"""Simulates a deployment on the virtual clock: nodes, back ends, platform services, callers and a trainer."""
 
 import random
 import uuid
@@ -60,7 +60,13 @@
 
 @dataclass(slots=True)
 class Slot:
-    """A place where a node runs, again and again under new instance ids."""
+    """A position in the deployment at which a node runs.
+
+    Attributes:
+        generation: number of starts so far; each start has its own instance id.
+        host: where the current node process runs.
+        scope: cancels the current node process.
+    """
 
     index: int
     generation: int = 0
@@ -70,12 +76,18 @@
 
     @property
     def name(self) -> str:
-        """Name on the network."""
+        """Name of the node's host on the network."""
         return f"node-{self.index}"
 
 
 class World:
-    """One simulated deployment; its group runs everything that is not inside a node."""
+    """Owns all parts of one simulated deployment.
+
+    Args:
+        spec: size and settings.
+        seed: seeds every random choice of the simulation.
+        group: runs everything outside the node processes.
+    """
 
     def __init__(self, spec: WorldSpec, seed: int, group: anyio.abc.TaskGroup) -> None:
         self.spec = spec
@@ -94,7 +106,11 @@
         self._add_workers()
 
     async def start(self) -> None:
-        """Start everything and publish the first configuration."""
+        """Start all parts and publish the first configuration.
+
+        Raises:
+            TimeoutError: the nodes were not ready, or the change not accepted, in time.
+        """
         for engine in self.cores.engines.values():
             self.group.start_soon(engine.run)
         for slot in self.slots:
@@ -107,7 +123,7 @@
         self.group.start_soon(self._observe)
 
     def start_node(self, slot: Slot) -> None:
-        """Start a node with an empty memory."""
+        """Start a new node process in a slot."""
         slot.generation += 1
         host = Host(slot.name, ZONES[slot.index % len(ZONES)])
         slot.host = host
@@ -121,13 +137,13 @@
         self.group.start_soon(self._run_node, slot, host, slot.node, slot.scope)
 
     def kill(self, slot: Slot) -> None:
-        """End a node at once; nothing it holds survives."""
+        """Kill the node process of a slot; its state in memory is lost."""
         if slot.host is not None and slot.scope is not None:
-            slot.host.die()
+            slot.host.mark_dead()
             slot.scope.cancel()
 
     async def stop(self, slot: Slot) -> None:
-        """Stop a node in order and wait for its end."""
+        """Stop the node of a slot gracefully, wait until it has ended and record the stop."""
         node, host = slot.node, slot.host
         assert node is not None
         assert host is not None
@@ -135,10 +151,10 @@
         host.group.start_soon(node.stop)
         while host.is_alive:
             await anyio.sleep(STOP_POLL_SECONDS)
-        self.history.add(NodeStopped(anyio.current_time(), slot.name, host.num_cut))
+        self.history.add(NodeStopped(anyio.current_time(), slot.name, host.num_aborted))
 
     def live_slots(self) -> list[Slot]:
-        """Return the slots whose node runs and is ready."""
+        """Return the slots whose node is running and ready."""
         return [
             slot
             for slot in self.slots
@@ -146,7 +162,7 @@
         ]
 
     def owner_of(self, shard: str) -> Slot | None:
-        """Return the slot that believes it owns a shard and serves it."""
+        """Return the first slot whose running node serves a shard as its owner, or None."""
         for slot in self.slots:
             is_up = slot.host is not None and slot.host.is_alive
             if is_up and slot.node is not None and shard in slot.node.shards.services():
@@ -154,7 +170,7 @@
         return None
 
     async def run_trainer(self) -> None:
-        """Run the job's trainer for its steps."""
+        """Run the trainer of the job until it has done all its steps."""
         spec = self.spec
         await run_trainer(
             self._fetch, self._publish_weights, self.trainer, spec.num_steps, spec.train_seconds
@@ -162,7 +178,12 @@
         self.is_trainer_done = True
 
     async def ask_live(self, number: int, deadline_seconds: float = 30.0) -> None:
-        """Ask one live completion of some gateway and note how it ended."""
+        """Send one live request to a random ready gateway and record its outcome.
+
+        Args:
+            number: number of the request; it determines the id, the prompt and the seed.
+            deadline_seconds: deadline of the request.
+        """
         prompt, seed = f"Live question {number % 5}", number
         request = GenerateRequest(f"live-{number}", MODEL, prompt, LIVE_MAX_TOKENS, seed)
         asked_at = anyio.current_time()
@@ -171,7 +192,7 @@
         slot = self._pick_slot()
         try:
             if slot is None or slot.host is None or slot.node is None:
-                raise NotStartedError("client.connect", "gateways", "none is up", 1.0)
+                raise NotStartedError("client.connect", "gateways", "no gateway is ready", 1.0)
             node = slot.node
             text = await slot.host.serve(
                 "client.complete", lambda: self._complete(node, request, deadline_seconds)
@@ -181,10 +202,10 @@
         except StepError as failure:
             outcome, error = "unknown", failure
         is_whole = text == whole_completion(prompt, seed, LIVE_MAX_TOKENS)
-        self._note_live(request.request_id, outcome, is_whole, asked_at, deadline_seconds, error)
+        self._record_live(request.request_id, outcome, is_whole, asked_at, deadline_seconds, error)
 
     async def ask_keyed(self, key: str, body: bytes, deadline_seconds: float = 10.0) -> str:
-        """Submit a keyed request to some gateway; return and note the outcome."""
+        """Submit a keyed request to a random ready gateway, record the outcome and return it."""
         headers = {"idempotency-key": key, "x-deadline-seconds": str(deadline_seconds)}
         path = f"/v1/applications/{APPLICATION}/confirm"
         response = await self.http(self._pick_slot(), "POST", path, CALLER_KEY, body, headers)
@@ -200,7 +221,7 @@
         return outcome
 
     async def publish(self, change_id: str, expected_revision: int, document: TenantDocument) -> str:
-        """Publish a configuration change through some gateway; return and note the outcome."""
+        """Publish a configuration change through a random ready gateway, record the outcome and return it."""
         change = {
             "change_id": change_id,
             "expected_revision": expected_revision,
@@ -225,13 +246,19 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> httpx.Response | None:
-        """Make one HTTP request of a node, inside that node's process; None if no answer came."""
+        """Send one HTTP request to a node and return the response.
+
+        The request is handled inside the process of the node.
+
+        Returns:
+            The response, or None if the slot has no node or no response came in time.
+        """
         if slot is None or slot.host is None or slot.node is None or slot.host.group is None:
             return None
         node, group = slot.node, slot.host.group
         all_headers = {"authorization": f"Bearer {key}"} | (headers or {})
 
-        async def ask() -> httpx.Response:
+        async def send_request() -> httpx.Response:
             transport = httpx.ASGITransport(app=make_application(node, group))
             async with httpx.AsyncClient(transport=transport, base_url="http://node") as client:
                 return await client.request(method, path, content=body, headers=all_headers)
@@ -239,19 +266,19 @@
         host = slot.host
         with anyio.move_on_after(CLIENT_TIMEOUT_SECONDS):
             try:
-                return await host.serve("client.http", ask)
+                return await host.serve("client.http", send_request)
             except StepError:
                 return None
         return None
 
     def new_key(self) -> str:
-        """Return a fresh idempotency key, a version 7 UUID of the virtual wall clock."""
+        """Return a new idempotency key: a version 7 UUID with the virtual time."""
         self._num_keys += 1
         value = self.wall_clock_ms() << 80 | 0x7 << 76 | 0b10 << 62 | self._num_keys
         return str(uuid.UUID(int=value))
 
     def wall_clock_ms(self) -> int:
-        """Return Unix time on the virtual clock."""
+        """Return the Unix time of the virtual clock, in milliseconds."""
         return EPOCH_MS + int(anyio.current_time() * MILLISECONDS)
 
     async def _run_node(self, slot: Slot, host: Host, node: Node, scope: anyio.CancelScope) -> None:
@@ -260,7 +287,7 @@
                 host.group = group
                 await node.run()
                 group.cancel_scope.cancel()
-        host.die()
+        host.mark_dead()
 
     async def _publish_first(self, document: TenantDocument) -> None:
         with anyio.fail_after(START_TIMEOUT_SECONDS):
@@ -274,7 +301,7 @@
         chunks = node.live.complete(TENANT, fleet, request, deadline_seconds)
         return "".join([token async for chunk in chunks for token in chunk.tokens])
 
-    def _note_live(
+    def _record_live(
         self,
         request: str,
         outcome: str,
@@ -314,7 +341,7 @@
         self.cores.store.publish(MODEL, weight_version)
 
     async def _observe(self) -> None:
-        """Note every node's revision in force, whenever it changes."""
+        """Record the revision in force on each ready node whenever it changes."""
         seen: dict[str, tuple[str, int]] = {}
         while True:
             for slot in self.live_slots():
@@ -328,7 +355,7 @@
             await anyio.sleep(OBSERVE_SECONDS)
 
     def _pick_slot(self) -> Slot | None:
-        """Return a gateway as a load balancer in front would: one that says it is ready."""
+        """Return a random ready slot, as a load balancer in front of the gateways chooses, or None."""
         slots = self.live_slots()
         return self.rng.choice(slots) if slots else None
 
