--- a/src/worksramp_emulator/simulation/world_spec.py
+++ b/src/worksramp_emulator/simulation/world_spec.py
@@ -1,4 +1,4 @@
-"""What a simulated deployment consists of: sizes, names, settings and configuration."""
+"""Defines a simulated deployment: sizes, names, node settings and the tenant's configuration."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -22,8 +22,8 @@
     """Size and speed of a simulated deployment.
 
     Attributes:
-        machine_list_lag_seconds: lag of the machine list.
-        num_steps: batches that the trainer takes.
+        machine_list_lag_seconds: delay after which a change shows in the machine list.
+        num_steps: number of batches that the trainer fetches.
     """
 
     num_nodes: int = 3
@@ -43,12 +43,18 @@
 
 
 def peer_address(index: int) -> str:
-    """Return a node's address for other nodes."""
+    """Return the address at which other nodes reach a node."""
     return f"10.0.0.{index + 1}:7000"
 
 
 def tenant_document(spec: WorldSpec, prompt_set: str, num_prompts: int) -> TenantDocument:
-    """Return the tenant's configuration."""
+    """Return the tenant's configuration with one rollout job.
+
+    Args:
+        spec: size of the deployment.
+        prompt_set: name of the job's prompt set.
+        num_prompts: number of prompts in it.
+    """
     job = JobSpec(
         model=MODEL,
         prompt_set=prompt_set,
