--- a/src/worksramp_emulator/simulation/clock.py
+++ b/src/worksramp_emulator/simulation/clock.py
@@ -1,6 +1,6 @@
-"""The virtual clock and the seeded scheduler: the one module that touches private names of trio.
+"""Runs simulations on a virtual clock with a seeded scheduler, so that a run depends on its seed only.
 
-trio is pinned for that reason. With both in place a run is a function of its seed.
+No other module uses private names of trio. Because of them, the version of trio is pinned.
 """
 
 import random
@@ -16,13 +16,13 @@
 
 
 def run_simulated(main: Callable[[], Awaitable[ResultT]], seed: int) -> ResultT:
-    """Run ``main`` on a clock that jumps to the next timer whenever all tasks wait.
+    """Run ``main`` on a clock that jumps to the next timer whenever all tasks wait, and return its result.
 
     Args:
         main: the simulation.
-        seed: decides the order of tasks that are ready at the same time.
+        seed: seeds the order in which tasks run that are ready at the same time.
     """
-    setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)  # noqa: B010 - final in trio's own types
+    setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)  # noqa: B010 - declared Final by trio
     trio_run._r = random.Random(seed)
     clock = trio.testing.MockClock(autojump_threshold=0)
     return anyio.run(main, backend="trio", backend_options={"clock": clock})
