--- a/src/worksramp_emulator/simulation/history.py
+++ b/src/worksramp_emulator/simulation/history.py
@@ -1,4 +1,4 @@
-"""What a simulated run did, as typed events that checkers read."""
+"""Records a simulated run as typed events, which the checkers read."""
 
 import hashlib
 
@@ -30,7 +30,7 @@
 
 
 class BatchTaken(msgspec.Struct, frozen=True, tag="batch_taken"):
-    """A trainer took a batch in."""
+    """A trainer received a batch."""
 
     at: float
     job: str
@@ -41,7 +41,7 @@
 
 
 class RevisionAccepted(msgspec.Struct, frozen=True, tag="revision_accepted"):
-    """An operator was told that a change is in force."""
+    """A configuration change was accepted; the operator got its revision."""
 
     at: float
     change_id: str
@@ -49,7 +49,7 @@
 
 
 class PublishAnswered(msgspec.Struct, frozen=True, tag="publish_answered"):
-    """An operator was told something else about a change."""
+    """A configuration change was not reported as accepted."""
 
     at: float
     change_id: str
@@ -57,7 +57,7 @@
 
 
 class RevisionSeen(msgspec.Struct, frozen=True, tag="revision_seen"):
-    """A ready node was seen with this revision in force."""
+    """A ready node had this revision in force when it was observed."""
 
     at: float
     node: str
@@ -73,14 +73,14 @@
 
 
 class WorkerLeft(msgspec.Struct, frozen=True, tag="worker_left"):
-    """A back end began to leave."""
+    """A back end began to drain."""
 
     at: float
     worker: str
 
 
 class NodeStopped(msgspec.Struct, frozen=True, tag="node_stopped"):
-    """A planned stop ended."""
+    """A graceful stop of a node ended, with ``num_cut`` requests still in flight."""
 
     at: float
     node: str
@@ -101,7 +101,7 @@
 
 
 class History:
-    """Events of one run, in order."""
+    """Events of one run in the order in which they were added."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -111,9 +111,9 @@
         self.events.append(event)
 
     def digest(self) -> str:
-        """Return a digest of all events: the same seed gives the same digest, in any process."""
+        """Return a SHA-256 digest of all events, equal for equal seeds in every process."""
         return hashlib.sha256(msgspec.json.encode(self.events)).hexdigest()
 
     def lines(self) -> list[str]:
-        """Return the events as text."""
+        """Return each event as a line of JSON."""
         return [msgspec.json.encode(event).decode() for event in self.events]
