--- a/src/worksramp_emulator/simulation/checkers.py
+++ b/src/worksramp_emulator/simulation/checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of what must always hold, over the record of a run. Each returns what it found wrong."""
+"""Checks the record of a simulated run for violations of the properties that must always hold."""
 
 import msgspec
 
@@ -18,20 +18,25 @@
 from worksramp_emulator.simulation.world_spec import JOB, TENANT
 from worksramp_emulator.text import whole_completion
 
-MAX_LEAVING_SECONDS = 5.0
+MAX_DRAINING_SECONDS = 5.0
 MAX_CONFIGURATION_SECONDS = 6.0
 ANSWER_MARGIN_SECONDS = 0.5
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A property that did not hold."""
+    """A violation of a property.
+
+    Attributes:
+        checker: name of the property.
+        what: what was found.
+    """
 
     checker: str
     what: str
 
 
 def check_true_versions(world: World) -> list[Violation]:
-    """Every sample names the weight versions that truly produced it."""
+    """Check that the segments of every sample name the weight versions that generated its tokens."""
     truth: dict[tuple[str, str, int], set[int]] = {}
     for engine in world.cores.engines.values():
         for run in engine.token_runs:
@@ -54,7 +59,7 @@
 
 
 def check_staleness(world: World) -> list[Violation]:
-    """No sample taken in was made with weights older than its job's bound."""
+    """Check that no sample that the trainer received exceeds the job's bound on staleness."""
     bound = world.spec.max_staleness
     return [
         Violation("staleness", f"a sample is {age} versions old, the bound is {bound}")
@@ -64,11 +69,14 @@
 
 
 def check_exactly_once(world: World) -> list[Violation]:
-    """Every sample reaches its trainer exactly once: the log and the trainer agree on every batch."""
+    """Check that every sample reaches the trainer exactly once.
+
+    The batches in the log and those that the trainer received must agree.
+    """
     found = []
-    taken = [sample.index for batch in world.trainer.batches for sample in batch.samples]
-    if len(taken) != len(set(taken)):
-        found.append(Violation("exactly_once", "a sample was taken in twice"))
+    received = [sample.index for batch in world.trainer.batches for sample in batch.samples]
+    if len(received) != len(set(received)):
+        found.append(Violation("exactly_once", "a sample was received twice"))
     fold = StreamFold(JobState())
     committed: dict[int, tuple[int, ...]] = {}
     for offset, record in enumerate(world.cores.log.streams.get(f"job.{TENANT}.{JOB}", [])):
@@ -78,15 +86,15 @@
     for batch in world.trainer.batches:
         indices = tuple(sample.index for sample in batch.samples)
         if committed.get(batch.cursor) != indices:
-            found.append(Violation("exactly_once", f"batch {batch.cursor} differs from the log's"))
+            found.append(Violation("exactly_once", f"batch {batch.cursor} differs from the log"))
     cursors = [batch.cursor for batch in world.trainer.batches]
     if cursors != list(range(1, len(cursors) + 1)):
         found.append(Violation("exactly_once", f"cursors out of order: {cursors}"))
     return found
 
 
-def check_whole_samples(world: World) -> list[Violation]:
-    """Every sample is a whole completion of its own prompt, with its own score."""
+def check_complete_samples(world: World) -> list[Violation]:
+    """Check that every sample is a complete text for its own prompt, with its own score."""
     found = []
     for batch in world.trainer.batches:
         for sample in batch.samples:
@@ -94,7 +102,7 @@
             covered = sum(segment.end - segment.start for segment in sample.segments)
             is_right = covered == len(sample.tokens) and sample.reward == expected_reward(sample.prompt, text)
             if not is_right or not _is_some_completion(world, sample.prompt, text):
-                found.append(Violation("whole_answer", f"sample {sample.index} is not whole"))
+                found.append(Violation("whole_answer", f"sample {sample.index} is not complete"))
     return found
 
 
@@ -107,38 +115,38 @@
     )
 
 
-def check_whole_answers(world: World) -> list[Violation]:
-    """Every caller gets the whole answer to its own request, or is told that it does not."""
+def check_complete_answers(world: World) -> list[Violation]:
+    """Check that every ``completed`` outcome comes with the complete answer to that request."""
     found = []
     for event in world.history.events:
         if isinstance(event, LiveAnswered) and event.outcome == "completed" and not event.is_whole:
-            found.append(Violation("whole_answer", f"{event.request} was not answered whole"))
+            found.append(Violation("whole_answer", f"{event.request} got an incomplete answer"))
         if isinstance(event, KeyedAnswered) and event.outcome == "completed" and not event.is_own_answer:
-            found.append(Violation("whole_answer", f"{event.key} got another's answer"))
+            found.append(Violation("whole_answer", f"{event.key} got the answer to another request"))
     return found
 
 
 def check_not_run(world: World) -> list[Violation]:
-    """A request of which the caller was only ever told ``not_run`` was not run."""
+    """Check that a request whose only reported outcome is ``not_run`` was not run."""
     outcomes: dict[str, set[str]] = {}
     for event in world.history.events:
         if isinstance(event, KeyedAnswered):
             outcomes.setdefault(event.key, set()).add(event.outcome)
     runs = _runs(world)
     found = [
-        Violation("not_run", f"{key} ran, and its caller was told it had not")
+        Violation("not_run", f"{key} ran although its outcome is not_run")
         for key, seen in outcomes.items()
         if seen == {"not_run"} and runs.get(f"{TENANT}/{key}", 0) > 0
     ]
-    began = {run.request_id for engine in world.cores.engines.values() for run in engine.token_runs}
+    started = {run.request_id for engine in world.cores.engines.values() for run in engine.token_runs}
     for event in world.history.events:
-        if isinstance(event, LiveAnswered) and event.outcome == "not_run" and event.request in began:
-            found.append(Violation("not_run", f"{event.request} ran, and its caller was told it had not"))
+        if isinstance(event, LiveAnswered) and event.outcome == "not_run" and event.request in started:
+            found.append(Violation("not_run", f"{event.request} ran although its outcome is not_run"))
     return found
 
 
 def check_at_most_once(world: World) -> list[Violation]:
-    """A keyed request runs at most once, and ``completed`` means that it ran."""
+    """Check that a keyed request runs at most once, and exactly once if its outcome is ``completed``."""
     runs = _runs(world)
     found = [
         Violation("at_most_once", f"{key} ran {count} times") for key, count in runs.items() if count > 1
@@ -149,7 +157,7 @@
         if isinstance(event, KeyedAnswered) and event.outcome == "completed"
     }
     found += [
-        Violation("at_most_once", f"{key} is completed but did not run once")
+        Violation("at_most_once", f"{key} is completed but did not run exactly once")
         for key in sorted(completed)
         if runs.get(f"{TENANT}/{key}", 0) != 1
     ]
@@ -165,21 +173,21 @@
 
 
 def check_leaving(world: World) -> list[Violation]:
-    """A back end that is leaving is sent nothing new after a few seconds."""
+    """Check that a draining back end receives no new requests after ``MAX_DRAINING_SECONDS``."""
     arrivals = {engine.engine_id: engine.statistics.arrived_at for engine in world.cores.engines.values()}
     arrivals |= {worker.worker_id: worker.arrived_at for worker in world.cores.applications.values()}
     found = []
     for event in world.history.events:
         if isinstance(event, WorkerLeft):
-            late = [at - event.at for at in arrivals[event.worker] if at > event.at + MAX_LEAVING_SECONDS]
+            late = [at - event.at for at in arrivals[event.worker] if at > event.at + MAX_DRAINING_SECONDS]
             if late:
-                what = f"{event.worker} was sent {len(late)} requests, the last after {late[-1]:.1f} s"
+                what = f"{event.worker} received {len(late)} requests, the last after {late[-1]:.1f} s"
                 found.append(Violation("leaving", what))
     return found
 
 
 def check_planned_stop(world: World) -> list[Violation]:
-    """A planned stop cuts off nothing in flight."""
+    """Check that a graceful stop aborts no requests in flight."""
     return [
         Violation("planned_stop", f"{event.node} stopped with {event.num_cut} requests in flight")
         for event in world.history.events
@@ -188,13 +196,13 @@
 
 
 def check_configuration(world: World) -> list[Violation]:
-    """Accepted configuration is in force on every live node within seconds and never reverts."""
+    """Check that a node's revision never decreases and that no two changes are accepted as one revision."""
     found = []
     newest: dict[str, int] = {}
     for event in world.history.events:
         if isinstance(event, RevisionSeen):
             if event.revision < newest.get(event.node, 0):
-                what = f"{event.node} went back from {newest[event.node]} to {event.revision}"
+                what = f"{event.node} reverted from {newest[event.node]} to {event.revision}"
                 found.append(Violation("configuration", what))
             newest[event.node] = max(newest.get(event.node, 0), event.revision)
     accepted = [event for event in world.history.events if isinstance(event, RevisionAccepted)]
@@ -206,7 +214,10 @@
 
 
 def check_configuration_in_time(world: World) -> list[Violation]:
-    """Accepted configuration is in force within the bound on every node that is up and reachable."""
+    """Check that every accepted revision is in force on each node within ``MAX_CONFIGURATION_SECONDS``.
+
+    Only for runs in which all nodes stay up and reachable.
+    """
     found = []
     for accepted in world.history.events:
         if not isinstance(accepted, RevisionAccepted):
@@ -220,33 +231,33 @@
                 and event.revision >= accepted.revision
             ]
             if not reached or min(reached) > accepted.at + MAX_CONFIGURATION_SECONDS:
-                what = f"{slot.name} had revision {accepted.revision} too late"
+                what = f"{slot.name} got revision {accepted.revision} too late"
                 found.append(Violation("configuration", what))
     return found
 
 
 def check_answered_at_once(world: World) -> list[Violation]:
-    """A request given up on is answered within its deadline, and told when to come back."""
+    """Check that live requests are answered within their deadline and that refusals say when to retry."""
     found = []
     for event in world.history.events:
         if not isinstance(event, LiveAnswered):
             continue
         if event.seconds > event.deadline_seconds + ANSWER_MARGIN_SECONDS:
-            found.append(Violation("at_once", f"{event.request} was held {event.seconds:.1f} s"))
+            found.append(Violation("at_once", f"{event.request} was answered after {event.seconds:.1f} s"))
         if event.outcome == "not_run" and event.retry_after_seconds <= 0:
-            found.append(Violation("at_once", f"{event.request}: no time to come back ({event.reason})"))
+            found.append(Violation("at_once", f"{event.request}: no time to retry ({event.reason})"))
     return found
 
 
 def check_progress(world: World) -> list[Violation]:
-    """Once the faults are over the trainer gets all its batches: nothing is lost for good."""
+    """Check that the trainer got all its batches after the faults ended, so nothing was lost for good."""
     if world.is_trainer_done:
         return []
     return [Violation("progress", f"the trainer has {len(world.trainer.batches)} batches only")]
 
 
 def batches_taken(world: World) -> int:
-    """Return how many answers with a batch the trainer saw."""
+    """Return the number of replies with a batch that the trainer received."""
     return sum(1 for event in world.history.events if isinstance(event, BatchTaken))
 
 
@@ -254,8 +265,8 @@
     check_true_versions,
     check_staleness,
     check_exactly_once,
-    check_whole_samples,
-    check_whole_answers,
+    check_complete_samples,
+    check_complete_answers,
     check_not_run,
     check_at_most_once,
     check_leaving,
@@ -266,6 +277,6 @@
 
 
 def check_all(world: World) -> list[Violation]:
-    """Run every safety checker, and the one for progress."""
+    """Run all safety checkers and the progress checker."""
     found = [violation for checker in SAFETY_CHECKERS for violation in checker(world)]
     return found + check_progress(world)
