--- a/src/worksramp_emulator/simulation/faults.py
+++ b/src/worksramp_emulator/simulation/faults.py
@@ -1,7 +1,7 @@
-"""Faults that a schedule may hold, and how they are drawn.
+"""Defines the faults of a schedule and draws random ones.
 
 See Also:
-    worksramp_emulator.simulation.fault_runner: how they are applied to a world.
+    worksramp_emulator.simulation.fault_runner: applies them to a deployment.
 """
 
 import random
@@ -12,27 +12,31 @@
 
 
 class KillNode(msgspec.Struct, frozen=True, tag="kill_node"):
-    """A node dies and comes back empty after ``seconds``; ``slot`` -1 means the job's owner."""
+    """A node is killed and restarts without state after ``seconds``; ``slot`` -1 is the owner of the job."""
 
     slot: int
     seconds: float
 
 
 class FreezeNode(msgspec.Struct, frozen=True, tag="freeze_node"):
-    """A node stands still, unaware, for ``seconds``; ``slot`` -1 means the job's owner."""
+    """A node is frozen for ``seconds`` without being notified; ``slot`` -1 is the owner of the job."""
 
     slot: int
     seconds: float
 
 
 class StopNode(msgspec.Struct, frozen=True, tag="stop_node"):
-    """A node is stopped in order, and another starts in its place."""
+    """A node is stopped gracefully, and another one starts in its slot."""
 
     slot: int
 
 
 class CutNode(msgspec.Struct, frozen=True, tag="cut_node"):
-    """A node is cut off from the other nodes: ``in``, ``out`` or ``both`` ways."""
+    """A node is partitioned from the other nodes.
+
+    Attributes:
+        direction: ``in``, ``out`` or ``both``: which messages are dropped, as seen from the node.
+    """
 
     slot: int
     seconds: float
@@ -40,86 +44,86 @@
 
 
 class CutLog(msgspec.Struct, frozen=True, tag="cut_log"):
-    """A node is cut off from the log."""
+    """A node is partitioned from the log."""
 
     slot: int
     seconds: float
 
 
 class CutZone(msgspec.Struct, frozen=True, tag="cut_zone"):
-    """A zone is cut off from everything outside it."""
+    """A zone is partitioned from everything outside it."""
 
     zone: str
     seconds: float
 
 
 class LogOutage(msgspec.Struct, frozen=True, tag="log_outage"):
-    """The log is down."""
+    """The log is unavailable."""
 
     seconds: float
 
 
 class SlowLog(msgspec.Struct, frozen=True, tag="slow_log"):
-    """Every answer of the log takes longer."""
+    """Every call to the log takes ``extra_seconds`` longer."""
 
     seconds: float
     extra_seconds: float
 
 
 class LoseLogReplies(msgspec.Struct, frozen=True, tag="lose_log_replies"):
-    """Replies to appends are lost after the append took effect."""
+    """The next ``count`` replies to appends are lost after the append took effect."""
 
     count: int
 
 
 class DelayAppends(msgspec.Struct, frozen=True, tag="delay_appends"):
-    """A share of appends takes effect only after the client gave up on them."""
+    """A share of appends gets no reply and takes effect later, possibly after the client has timed out."""
 
     seconds: float
     share: float
 
 
 class CrashEngine(msgspec.Struct, frozen=True, tag="crash_engine"):
-    """An engine loses everything and comes back with old weights."""
+    """An engine crashes, losing its state, and restarts with older weights after ``seconds``."""
 
     engine: int
     seconds: float
 
 
 class FailLoad(msgspec.Struct, frozen=True, tag="fail_load"):
-    """An engine's next weight load fails half-way."""
+    """The next weight load of an engine fails part-way."""
 
     engine: int
 
 
 class LeaveEngine(msgspec.Struct, frozen=True, tag="leave_engine"):
-    """An engine begins to leave; the machine list learns of it late."""
+    """An engine begins to drain; the machine list shows it only after its lag."""
 
     engine: int
 
 
 class LoseReports(msgspec.Struct, frozen=True, tag="lose_reports"):
-    """Load reports of an engine are lost."""
+    """The load reports of an engine are lost for ``seconds``."""
 
     engine: int
     seconds: float
 
 
 class LeaveApplication(msgspec.Struct, frozen=True, tag="leave_application"):
-    """An application worker begins to leave."""
+    """An application worker begins to drain."""
 
     worker: int
 
 
 class LoseApplicationReplies(msgspec.Struct, frozen=True, tag="lose_application_replies"):
-    """Replies of an application worker are lost after it ran the request."""
+    """The next ``count`` replies of an application worker are lost after it ran the request."""
 
     worker: int
     count: int
 
 
 class RaceOperators(msgspec.Struct, frozen=True, tag="race_operators"):
-    """Operators publish conflicting changes from the same revision at once."""
+    """Operators publish conflicting changes from the same revision concurrently."""
 
     num_operators: int
 
@@ -146,14 +150,14 @@
 
 
 class ScheduledFault(msgspec.Struct, frozen=True):
-    """A fault and when it begins, in seconds after the start."""
+    """A fault and the time at which it begins, in seconds after the start of the schedule."""
 
     at: float
     fault: Fault
 
 
 def draw_fault(rng: random.Random, num_nodes: int, num_engines: int, num_workers: int) -> Fault:
-    """Draw one fault."""
+    """Return a random fault for a deployment of the given size."""
     slot = rng.randrange(-1, num_nodes)
     engine = rng.randrange(num_engines)
     worker = rng.randrange(num_workers)
@@ -182,7 +186,7 @@
 def draw_schedule(
     rng: random.Random, num_faults: int, seconds: float, spec: WorldSpec
 ) -> list[ScheduledFault]:
-    """Draw faults at random times."""
+    """Return random faults at random times within some seconds."""
     return [
         ScheduledFault(
             rng.uniform(0.0, seconds),
