--- a/src/worksramp_emulator/simulation/scenarios.py
+++ b/src/worksramp_emulator/simulation/scenarios.py
@@ -1,4 +1,4 @@
-"""Named scenarios: which faults, and which property they are meant to break."""
+"""Defines named scenarios: their faults and the property that each of them puts at risk."""
 
 import random
 from collections.abc import Callable
@@ -30,12 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One kind of trouble.
+    """One kind of fault schedule.
 
     Attributes:
-        checker: name of the checker that fails when the mechanism is off.
+        property_number: number of the property that the scenario is meant to break.
+        checker: name of the checker that fails when the mechanism is switched off.
         mutation: the mechanism to switch off, by its name in `MUTATIONS`.
-        draw: draws the faults of one seed.
+        draw: returns the fault schedule for one seed.
+        spec: size and settings of the deployment.
     """
 
     name: str
@@ -113,23 +115,23 @@
     return [ScheduledFault(2.0 + 8.0 * slot + rng.uniform(0.0, 4.0), StopNode(slot)) for slot in range(3)]
 
 
-def _one_node_knows(rng: random.Random) -> list[ScheduledFault]:
-    """One node alone reads a change; then the log goes down and that node loses its memory."""
+def _one_node_has_change(rng: random.Random) -> list[ScheduledFault]:
+    """Let only one node read a change, then make the log unavailable and kill that node."""
     first, second, third = rng.sample(range(3), 3)
     at = rng.uniform(2.0, 10.0)
-    is_published = at + rng.uniform(0.02, 0.3)
+    published_at = at + rng.uniform(0.02, 0.3)
     return [
         ScheduledFault(at - 1.0, CutLog(second, 25.0)),
         ScheduledFault(at - 1.0, CutLog(third, 25.0)),
         ScheduledFault(at, RaceOperators(4)),
-        ScheduledFault(is_published, LogOutage(20.0)),
-        ScheduledFault(is_published + rng.uniform(0.0, 0.2), KillNode(first, 0.2)),
+        ScheduledFault(published_at, LogOutage(20.0)),
+        ScheduledFault(published_at + rng.uniform(0.0, 0.2), KillNode(first, 0.2)),
     ]
 
 
 def _configuration_troubles(rng: random.Random) -> list[ScheduledFault]:
     if rng.random() < DIRECTED_SHARE:
-        return _one_node_knows(rng)
+        return _one_node_has_change(rng)
     races = [_at(rng, 0.0, 22.0, RaceOperators(rng.randrange(2, 4))) for _ in range(5)]
     return [
         *races,
