--- a/src/worksramp_emulator/simulation/mutations.py
+++ b/src/worksramp_emulator/simulation/mutations.py
@@ -1,6 +1,6 @@
-"""Switches each mechanism off, to show that its checker then fails.
+"""Switches off each mechanism to show that its checker detects it.
 
-A checker that cannot fail proves nothing. Every mutation here is a mistake that one might make.
+A checker that cannot fail proves nothing. Each mutation is a mistake that a developer could make.
 """
 
 from collections.abc import Callable, Iterator
@@ -28,24 +28,24 @@
 
 @contextmanager
 def _one_version_a_stream() -> Iterator[None]:
-    """Name the weights that a stream began with for all of it."""
+    """Label all tokens of a stream with the weight version of its first tokens."""
     take = SegmentRecorder.take
 
-    def take_wrongly(self: SegmentRecorder, chunk: GenerationChunk) -> None:
+    def take_mutated(self: SegmentRecorder, chunk: GenerationChunk) -> None:
         segments = self.sample().segments
         version = segments[0].weight_version if segments else chunk.weight_version
         take(self, msgspec.structs.replace(chunk, weight_version=version))
 
-    with mock.patch.object(SegmentRecorder, "take", take_wrongly):
+    with mock.patch.object(SegmentRecorder, "take", take_mutated):
         yield
 
 
 @contextmanager
 def _age_by_newest_segment() -> Iterator[None]:
-    """Judge a sample's age by its newest weights instead of its oldest."""
+    """Compute the age of a sample from its newest weight version instead of its oldest."""
     apply_sample = JobState._apply_sample
 
-    def apply_wrongly(self: JobState, offset: int, sample: SampleFinished) -> str | None:
+    def apply_mutated(self: JobState, offset: int, sample: SampleFinished) -> str | None:
         reason = apply_sample(self, offset, sample)
         if reason is None:
             held = self.finished[sample.index]
@@ -54,13 +54,13 @@
             )
         return reason
 
-    with mock.patch.object(JobState, "_apply_sample", apply_wrongly):
+    with mock.patch.object(JobState, "_apply_sample", apply_mutated):
         yield
 
 
 @contextmanager
 def _send_before_read_back() -> Iterator[None]:
-    """Send a batch as soon as it is planned, before its commit has been read back."""
+    """Deliver a batch as soon as it is planned, before its commit has been read back from the log."""
     commit = JobService._commit_batch
 
     async def send_at_once(
@@ -81,7 +81,7 @@
 
 @contextmanager
 def _no_stream_checks() -> Iterator[None]:
-    """Join whatever chunks arrive, in the order they arrive."""
+    """Append all chunks in the order in which they arrive, without checking them."""
 
     def take(self: StreamAssembler, chunk: GenerationChunk, peer: str) -> GenerationChunk:
         self.tokens.extend(chunk.tokens)
@@ -93,58 +93,58 @@
 
 @contextmanager
 def _last_error_decides() -> Iterator[None]:
-    """Say "not run" whenever the last try was refused, whatever became of earlier ones."""
+    """Report "not run" if the last attempt was refused, regardless of the outcome of earlier attempts."""
     with mock.patch.object(generation, "final_failure", lambda last, has_begun: last):
         yield
 
 
 @contextmanager
 def _lost_reply_is_not_run() -> Iterator[None]:
-    """Say "not run" of a keyed request whose back end did not answer."""
+    """Report "not run" for a keyed request whose back end did not reply."""
     execute = LedgerService.execute
 
-    async def execute_wrongly(self: LedgerService, request: ExecuteOnce) -> ExecutionOutcome:
+    async def execute_mutated(self: LedgerService, request: ExecuteOnce) -> ExecutionOutcome:
         outcome = await execute(self, request)
         if isinstance(outcome, OutcomeUnknown):
             return NotRun(outcome.step, outcome.peer, outcome.reason, 1.0)
         return outcome
 
-    with mock.patch.object(LedgerService, "execute", execute_wrongly):
+    with mock.patch.object(LedgerService, "execute", execute_mutated):
         yield
 
 
 @contextmanager
 def _dispatch_before_read_back() -> Iterator[None]:
-    """Dispatch a keyed request whatever the verdict about its intent."""
+    """Dispatch a keyed request regardless of the verdict about its intent."""
     commit = LedgerService._commit_intent
 
-    async def commit_wrongly(
+    async def commit_mutated(
         self: LedgerService, request: ExecuteOnce, running: Running
     ) -> ExecutionOutcome | None:
         refusal = await commit(self, request, running)
         return refusal if running.outcome is not None else None
 
-    with mock.patch.object(LedgerService, "_commit_intent", commit_wrongly):
+    with mock.patch.object(LedgerService, "_commit_intent", commit_mutated):
         yield
 
 
 @contextmanager
 def _endless_leases() -> Iterator[None]:
-    """Use workers however old their last report is."""
+    """Use workers regardless of the age of their last report."""
     with mock.patch.object(Worker, "expires_at", float("inf")):
         yield
 
 
 @contextmanager
 def _stop_without_waiting() -> Iterator[None]:
-    """End a planned stop while requests are in flight."""
+    """End a graceful stop while requests are in flight."""
     with mock.patch.object(Node, "num_in_flight", 0):
         yield
 
 
 @contextmanager
 def _apply_without_copies() -> Iterator[None]:
-    """Put a configuration record in force as soon as one node holds it."""
+    """Apply a configuration record as soon as one node has a copy."""
 
     async def push_nothing(self: ConfigurationService) -> None:
         return
