--- a/src/worksramp_emulator/simulation/scoring_mutations.py
+++ b/src/worksramp_emulator/simulation/scoring_mutations.py
@@ -1,4 +1,4 @@
-"""Mistakes in scoring that one might make, to show that the checkers of batches catch each."""
+"""Mutations of the scoring code, to show that the checkers of batches detect each of them."""
 
 from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager, contextmanager
@@ -14,56 +14,56 @@
 from worksramp.routing.worker_port import WorkerPort
 from worksramp.routing.workers import WorkerEntry
 
-Mistake = Callable[[], AbstractContextManager[None]]
+Mutation = Callable[[], AbstractContextManager[None]]
 
-SCORING_MISTAKES: dict[str, Mistake] = {}
+SCORING_MUTATIONS: dict[str, Mutation] = {}
 
 
-def mistake(name: str) -> Callable[[Callable[[], Iterator[None]]], Mistake]:
-    """Register the decorated mistake under a name."""
+def mutation(name: str) -> Callable[[Callable[[], Iterator[None]]], Mutation]:
+    """Register the decorated generator as a mutation under the name that scenarios use."""
 
-    def register(body: Callable[[], Iterator[None]]) -> Mistake:
-        SCORING_MISTAKES[name] = contextmanager(body)
-        return SCORING_MISTAKES[name]
+    def register(body: Callable[[], Iterator[None]]) -> Mutation:
+        SCORING_MUTATIONS[name] = contextmanager(body)
+        return SCORING_MUTATIONS[name]
 
     return register
 
 
-@mistake("items are listed without a score")
+@mutation("items are listed without a score")
 def _list_unscored() -> Iterator[None]:
     with mock.patch.object(ItemWork, "is_scored", property(lambda work: True)):
         yield
 
 
-@mistake("a score is made up")
+@mutation("a score is made up")
 def _make_up_score() -> Iterator[None]:
-    async def invent(
+    async def make_up(
         port: WorkerPort, worker: WorkerEntry, call: ScoringCall, deadline_s: float
     ) -> ScoringAnswer:
         return ScoringAnswer(Scored(Score(call.call_id, "made-up")))
 
-    with mock.patch.object(item_scorer, "call_scorer", invent):
+    with mock.patch.object(item_scorer, "call_scorer", make_up):
         yield
 
 
-@mistake("an item gets the score of another")
+@mutation("an item gets the score of another")
 def _swap_scores() -> Iterator[None]:
-    former: list[Score] = []
+    earlier: list[Score] = []
 
     async def swap(
         port: WorkerPort, worker: WorkerEntry, call: ScoringCall, deadline_s: float
     ) -> ScoringAnswer:
         answer = await call_scorer(port, worker, call, deadline_s)
         if isinstance(answer.outcome, Scored):
-            former.append(answer.outcome.score)
-            return ScoringAnswer(Scored(msgspec.structs.replace(former[0], call_id=call.call_id)))
+            earlier.append(answer.outcome.score)
+            return ScoringAnswer(Scored(msgspec.structs.replace(earlier[0], call_id=call.call_id)))
         return answer
 
     with mock.patch.object(item_scorer, "call_scorer", swap):
         yield
 
 
-@mistake("a call goes out before the text is whole")
+@mutation("a call goes out before the text is whole")
 def _call_early() -> Iterator[None]:
     def needs_score(work: ItemWork) -> bool:
         return bool(work.text.pieces) and not work.is_done and not work.is_scored
@@ -72,7 +72,7 @@
         yield
 
 
-@mistake("calls go on after the end of the batch")
+@mutation("calls go on after the end of the batch")
 def _call_after_end() -> Iterator[None]:
     with mock.patch.object(BatchOwner, "_drop_batch", lambda owner, batch_id, batch: None):
         yield
--- a/tests/steps/test_batches.py
+++ b/tests/steps/test_batches.py
@@ -23,7 +23,7 @@
     scoring_call_id,
 )
 from worksramp_emulator.simulation.clock import run_simulated
-from worksramp_emulator.simulation.scoring_mutations import SCORING_MISTAKES, Mistake
+from worksramp_emulator.simulation.scoring_mutations import SCORING_MUTATIONS, Mutation
 
 scenarios("batches.feature", "scoring.feature")
 
@@ -35,7 +35,7 @@
     faults: list[tuple[float, Action]] = field(default_factory=list)
     drawn_seconds: float = 0.0
     required_group_share: float | None = None
-    mistake: Mistake = contextlib.nullcontext
+    mutation: Mutation = contextlib.nullcontext
     world: BatchWorld | None = None
 
     def run(self, work: Action) -> BatchWorld:
@@ -53,11 +53,11 @@
                 group.cancel_scope.cancel()
             return world
 
-        with self.mistake():
+        with self.mutation():
             return run_simulated(main, self.seed)
 
     @property
-    def played(self) -> BatchWorld:
+    def finished_world(self) -> BatchWorld:
         assert self.world is not None
         return self.world
 
@@ -83,8 +83,8 @@
 
 
 @given(parsers.parse("the mistake that {mistake}"))
-def mistake_made(plan: Plan, mistake: str) -> None:
-    plan.mistake = SCORING_MISTAKES[mistake]
+def apply_mutation(plan: Plan, mistake: str) -> None:
+    plan.mutation = SCORING_MUTATIONS[mistake]
 
 
 @given("a deployment whose route needs one version", target_fixture="plan")
@@ -93,7 +93,7 @@
 
 
 @given(parsers.parse("a deployment that keeps results for {seconds:d} seconds"), target_fixture="plan")
-def forgetful_deployment(seconds: int) -> Plan:
+def expiring_deployment(seconds: int) -> Plan:
     return Plan(BatchWorldSpec(status_seconds=seconds))
 
 
@@ -182,7 +182,7 @@
 
 @then(parsers.parse("item {item} failed in both batches and was run {count:d} times in the second"))
 def failed_again(plan: Plan, item: str, count: int) -> None:
-    world = plan.played
+    world = plan.finished_world
     ended = [r.offset for r in world.store.all_records(world.records.batches) if r.key == "e/batch0"]
     assert ended
     results = {result.item_id: result for result in world.steps[1].results.values()}
@@ -195,7 +195,7 @@
 
 @then("the store holds nothing of the first batch")
 def nothing_left(plan: Plan) -> None:
-    world = plan.played
+    world = plan.finished_world
     keys = world.store.newest_keys(world.records.batches)
     assert [key for key in keys if "batch0" in key or "s0g" in key] == []
     assert [key for key in keys if key == "owner"]
@@ -210,58 +210,61 @@
 
 @then(parsers.parse("every step has its groups within {limit:d} seconds"))
 def steps_in_time(plan: Plan, limit: int) -> None:
-    times = [step.seconds for step in plan.played.steps]
+    times = [step.seconds for step in plan.finished_world.steps]
     assert all(seconds is not None and seconds <= limit for seconds in times), times
 
 
 @then("one node has owned the shard all the time")
 def one_owner(plan: Plan) -> None:
-    owners = [order.fence for order in plan.played.fleet.orders]
+    owners = [order.fence for order in plan.finished_world.fleet.orders]
     assert set(owners) == {1}
 
 
 @then("no item is given up")
 def none_given_up(plan: Plan) -> None:
-    results = [result for step in plan.played.steps for result in step.results.values()]
+    results = [result for step in plan.finished_world.steps for result in step.results.values()]
     assert results and all(result.is_completed for result in results)
 
 
 @then(parsers.parse('a violation says "{text}"'))
 def violation_found(plan: Plan, text: str) -> None:
-    violations = check_all(plan.played, lease_seconds=3.0)
+    violations = check_all(plan.finished_world, lease_seconds=3.0)
     assert [violation for violation in violations if text in violation], violations
 
 
 @then(parsers.parse("the scoring call of item {item} was sent {count:d} times"))
 def call_sent(plan: Plan, item: str, count: int) -> None:
-    assert len([call for call in plan.played.fleet.calls if call.call_id == scoring_call_id(item)]) == count
+    assert (
+        len([call for call in plan.finished_world.fleet.calls if call.call_id == scoring_call_id(item)])
+        == count
+    )
 
 
 @then(parsers.parse("item {item} is listed as given up"))
 def listed_given_up(plan: Plan, item: str) -> None:
-    results = {result.item_id: result for result in plan.played.steps[0].results.values()}
+    results = {result.item_id: result for result in plan.finished_world.steps[0].results.values()}
     assert not results[item].is_completed
 
 
 @then(parsers.parse("the items that were whole were run once"))
 def whole_items_run_once(plan: Plan) -> None:
-    """What was whole before the kill is not made again."""
-    fleet = plan.played.fleet
-    made_twice = {
+    """Items that were complete before the kill are not generated again."""
+    fleet = plan.finished_world.fleet
+    generated_twice = {
         item_id
         for (item_id, number), made in fleet.made_at.items()
         if number == num_events_of(item_id) - 1 and len(made) > 1
     }
-    assert made_twice == set()
+    assert generated_twice == set()
 
 
 @then("nothing is violated")
 def nothing_violated(plan: Plan) -> None:
-    assert check_all(plan.played, lease_seconds=3.0) == []
+    assert check_all(plan.finished_world, lease_seconds=3.0) == []
 
 
 @then(parsers.re(r"item (?P<item>\S+) is given up after (?P<count>\d+) runs?"))
 def given_up(plan: Plan, item: str, count: str) -> None:
-    results = {result.item_id: result for result in plan.played.steps[0].results.values()}
+    results = {result.item_id: result for result in plan.finished_world.steps[0].results.values()}
     assert not results[item].is_completed
-    assert len([run for run in plan.played.fleet.runs if run[3] == item]) == int(count)
+    assert len([run for run in plan.finished_world.fleet.runs if run[3] == item]) == int(count)
