--- a/src/worksramp_emulator/simulation/prove.py
+++ b/src/worksramp_emulator/simulation/prove.py
@@ -1,4 +1,4 @@
-"""Runs many seeds of a scenario, with its mechanism on or off, and reports the first that fails."""
+"""Runs a scenario with many seeds, with its mechanism on or off, and reports the seeds that fail."""
 
 import random
 from collections.abc import Iterator
@@ -17,10 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProofReport:
-    """What a number of seeds gave.
+    """Result of running a scenario with a number of seeds.
 
     Attributes:
-        failed: result of each failing seed, in order.
+        without: mechanism that was switched off, empty for none.
+        failed: results of the failing seeds, in order of the seeds.
     """
 
     scenario: str
@@ -29,14 +30,16 @@
     failed: tuple[RunResult, ...]
 
     def violations_of(self, checker: str) -> list[Violation]:
-        """Return what one checker found, over all seeds."""
+        """Return the violations that one checker found, over all seeds."""
         return [item for result in self.failed for item in result.violations if item.checker == checker]
 
 
 def run_scenario(name: str, seed: int, without: str = "") -> RunResult:
-    """Run one seed of a scenario.
+    """Run a scenario with one seed.
 
     Args:
+        name: name of the scenario, or `CHAOS` for random faults.
+        seed: determines the run.
         without: mechanism to switch off, by its name in `MUTATIONS`; empty for none.
     """
     with MUTATIONS[without]() if without else nullcontext():
@@ -47,7 +50,7 @@
 
 
 def prove(name: str, seeds: range, without: str = "", num_processes: int = 4) -> ProofReport:
-    """Run many seeds in some processes.
+    """Run a scenario with many seeds, in parallel processes.
 
     Raises:
         KeyError: there is no such scenario or mechanism.
