--- a/src/worksramp_emulator/simulation/runner.py
+++ b/src/worksramp_emulator/simulation/runner.py
@@ -1,4 +1,4 @@
-"""Runs scenarios: a seed gives a world, a fault schedule, traffic, and a verdict."""
+"""Runs one simulation: builds the deployment, applies faults under traffic and checks the record."""
 
 import random
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 KEYED_PERIOD_SECONDS = 1.0
 NUM_LIVE = 60
 NUM_KEYED = 25
-MAX_KEYED_TRIES = 4
+MAX_KEYED_ATTEMPTS = 4
 KEYED_RETRY_SECONDS = 2.0
 
 
@@ -28,7 +28,13 @@
 
 
 class RunResult(msgspec.Struct):
-    """What one run gave."""
+    """Result of one run.
+
+    Attributes:
+        digest: digest of the history, equal for equal seeds.
+        history: events as lines of JSON.
+        virtual_seconds: duration of the run on the virtual clock.
+    """
 
     seed: int
     violations: list[Violation]
@@ -38,7 +44,7 @@
 
 
 def run_seed(seed: int, num_faults: int = 6, spec: WorldSpec | None = None) -> RunResult:
-    """Run one seed with a drawn schedule of faults."""
+    """Run one seed with random faults."""
 
     def draw(world: World) -> list[ScheduledFault]:
         return draw_schedule(random.Random(seed), num_faults, FAULT_SECONDS, world.spec)
@@ -47,7 +53,7 @@
 
 
 def run_faults(seed: int, schedule: list[ScheduledFault], spec: WorldSpec | None = None) -> RunResult:
-    """Run one seed with a given schedule of faults."""
+    """Run one seed with the given faults."""
     return _run(seed, spec or WorldSpec(), lambda world: schedule)
 
 
@@ -73,7 +79,10 @@
 
 
 async def _drive(world: World, schedule: list[ScheduledFault]) -> None:
-    """Let callers and the trainer work while the faults come, and then until the trainer is done."""
+    """Run callers, the trainer and the faults until all of them are done.
+
+    The trainer is stopped ``SETTLE_SECONDS`` after the time for faults at the latest.
+    """
     async with anyio.create_task_group() as group:
         group.start_soon(_ask_live, world)
         group.start_soon(_ask_keyed, world)
@@ -97,15 +106,16 @@
 
 
 async def _one_keyed(world: World, number: int) -> None:
-    """Submit a keyed request, again while it is said not to have run, and once more to be sure.
+    """Submit a keyed request and retry it while its outcome is ``not_run``.
 
-    Every third goes to two gateways at once.
+    Of every three requests, one is sent concurrently a second time, and one is sent again after its last
+    outcome.
     """
     key = world.new_key()
     body = b"%d" % number
     if number % 3 == 1:
         world.group.start_soon(world.ask_keyed, key, body)
-    for _ in range(MAX_KEYED_TRIES):
+    for _ in range(MAX_KEYED_ATTEMPTS):
         outcome = await world.ask_keyed(key, body)
         if outcome != "not_run":
             break
