--- a/src/worksramp_emulator/simulation/__init__.py
+++ b/src/worksramp_emulator/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic simulation: production nodes on a virtual clock, with seeded faults and checked histories."""
+"""Deterministic simulation: runs production nodes on a virtual clock with seeded faults and checks them."""
