--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""Tests that are known to fail: listed in KNOWN-RED.txt, printed at the end, and not run unless asked for.
+"""Deselects the tests listed in KNOWN-RED.txt, which are known to fail, and prints the list at the end.
 
-Each line of the list is ``test | cause | issue | command and seed``.
+The option ``--known-red`` runs them too. Each line of the list is
+``test | cause | issue | command and seed``.
 """
 
 from pathlib import Path
@@ -17,14 +18,14 @@
     """Return the entries of a list of known failures.
 
     Raises:
-        pytest.UsageError: an entry is not whole, or there are too many.
+        pytest.UsageError: an entry lacks a field, or there are too many entries.
     """
     lines = [line.strip() for line in text.splitlines() if line.strip() and not line.startswith("#")]
     for line in lines:
         if len([part for part in line.split("|") if part.strip()]) != NUM_FIELDS:
             raise pytest.UsageError(f"KNOWN-RED.txt: not 'test | cause | issue | command and seed': {line}")
     if len(lines) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} entries, at most {MAX_KNOWN_RED} are borne")
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} entries, at most {MAX_KNOWN_RED} are allowed")
     return lines
 
 
--- a/tests/steps/test_always_holds.py
+++ b/tests/steps/test_always_holds.py
@@ -40,7 +40,7 @@
 
 @then(parsers.parse('one of the first {count:d} seeds breaks the property "{name}"'))
 def is_broken(run: Run, count: int, name: str) -> None:
-    # Which seed it is shifts with every change of the code; that there is one does not.
+    # Which of the seeds fails depends on every detail of the code, so only require that one of them does.
     assert any(
         name in {violation.checker for violation in run_scenario(run.scenario, seed, run.mutation).violations}
         for seed in range(count)
--- a/tests/steps/test_directed.py
+++ b/tests/steps/test_directed.py
@@ -23,7 +23,7 @@
 scenarios("directed.feature")
 
 Step = Callable[[World], Coroutine[Any, Any, None]]
-FOR_EVER_SECONDS = 1000.0
+FOREVER_SECONDS = 1000.0
 
 
 @dataclass
@@ -32,11 +32,11 @@
     steps: list[Step] = field(default_factory=list)
     answers: list[str] = field(default_factory=list)
     key: str = ""
-    num_tries: int = 0
+    num_attempts: int = 0
     p99_seconds: list[float] = field(default_factory=list)
 
     def run(self, *steps: Step) -> World:
-        """Run the collected steps and these in one simulation; return the world as it was left."""
+        """Run the collected steps and then these in one simulation, and return its world."""
         configure_logs("error")
 
         async def main() -> World:
@@ -82,7 +82,7 @@
 @given(parsers.parse("node {index:d} is cut off from the log"))
 def cut_from_log(plan: Plan, index: int) -> None:
     async def step(world: World) -> None:
-        world.group.start_soon(apply_fault, world, CutLog(index, FOR_EVER_SECONDS))
+        world.group.start_soon(apply_fault, world, CutLog(index, FOREVER_SECONDS))
 
     plan.steps += [step, pause(11.0)]
 
@@ -114,7 +114,7 @@
 @when("the log goes down")
 def log_down(plan: Plan) -> None:
     async def step(world: World) -> None:
-        world.group.start_soon(apply_fault, world, LogOutage(FOR_EVER_SECONDS))
+        world.group.start_soon(apply_fault, world, LogOutage(FOREVER_SECONDS))
         await anyio.sleep(0.01)
 
     plan.steps.append(step)
@@ -136,7 +136,7 @@
 @when("every engine breaks each stream at once")
 def break_streams(plan: Plan) -> None:
     async def broken(core: EngineCore, request: GenerateRequest) -> AsyncGenerator[GenerationChunk, None]:
-        plan.num_tries += 1
+        plan.num_attempts += 1
         raise InterruptedStepError("engine.generate", core.engine_id, "broken")
         yield
 
@@ -151,7 +151,7 @@
 @when(parsers.parse("{count:d} live requests are asked"))
 def ask_live(plan: Plan, count: int) -> None:
     async def step(world: World) -> None:
-        plan.num_tries = 0
+        plan.num_attempts = 0
         for number in range(count):
             await world.ask_live(number)
             await anyio.sleep(0.05)
@@ -202,7 +202,7 @@
 
 
 @then(parsers.parse('one is told "{first}" and {count:d} are told "{second}"'))
-def told(plan: Plan, first: str, count: int, second: str) -> None:
+def publish_outcomes(plan: Plan, first: str, count: int, second: str) -> None:
     plan.run()
     assert sorted(plan.answers) == sorted([first] + [second] * count)
 
@@ -220,7 +220,7 @@
 def tries_bounded(plan: Plan, share: float) -> None:
     world = plan.run()
     answered = [event for event in world.history.events if isinstance(event, LiveAnswered)]
-    assert plan.num_tries <= share * len(answered)
+    assert plan.num_attempts <= share * len(answered)
 
 
 @then(parsers.parse("every refusal comes within {seconds:d} seconds and says when to come back"))
@@ -236,10 +236,10 @@
 def keyed_refused(plan: Plan, outcome: str, seconds: int) -> None:
     asked_at: list[float] = []
 
-    async def note(world: World) -> None:
+    async def record_start(world: World) -> None:
         asked_at.append(anyio.current_time())
 
-    plan.steps.insert(-1, note)
+    plan.steps.insert(-1, record_start)
     world = plan.run()
     answered = [event for event in world.history.events if isinstance(event, KeyedAnswered)]
     assert [event.outcome for event in answered] == [outcome]
@@ -254,7 +254,7 @@
 
 
 @then(parsers.parse('the second is told "{outcome}"'))
-def second_told(plan: Plan, outcome: str) -> None:
+def second_outcome(plan: Plan, outcome: str) -> None:
     plan.run()
     assert plan.answers == ["completed", outcome]
 
@@ -262,7 +262,7 @@
 @given(parsers.parse("its fleet has {engines:d} engines in {cells:d} cells"))
 def fleet_in_cells(plan: Plan, engines: int, cells: int) -> None:
     plan.spec = replace(plan.spec, num_engines=engines, num_fleet_cells=cells)
-    # The other cells have just looked at the store by themselves, and will not for a while.
+    # By now the other cells have just read the store, and they will not read it again for some time.
     plan.steps.append(pause(13.0))
 
 
@@ -275,7 +275,7 @@
 
 
 @when("the owner of the first cell is killed")
-def kill_watcher(plan: Plan) -> None:
+def kill_cell_owner(plan: Plan) -> None:
     async def step(world: World) -> None:
         owner = world.owner_of(f"fleet.{TENANT}.{FLEET}.0")
         assert owner is not None
@@ -291,14 +291,14 @@
 
 
 @then(parsers.parse("the store was read at most {rate:d} times a second"))
-def store_spared(plan: Plan, rate: int) -> None:
+def store_reads_bounded(plan: Plan, rate: int) -> None:
     seconds = 20.0
     counts: list[int] = []
 
-    async def note(world: World) -> None:
+    async def count_reads(world: World) -> None:
         counts.append(world.cores.store.num_reads)
 
-    plan.run(note, pause(seconds), note)
+    plan.run(count_reads, pause(seconds), count_reads)
     assert counts[1] - counts[0] <= rate * seconds
 
 
@@ -306,7 +306,7 @@
     """Return the p99 of 300 live requests with rollout idle or filling the fleet."""
     engine = EngineProfile(max_num_seqs=8, load_seconds=0.6)
     samples = 64 if is_rollout_on else 2
-    # Chunks out of place are another scenario's matter: each costs a retry and so latency.
+    # No stray chunks: each of them costs a retry and so adds latency. Another scenario covers them.
     network = NetworkProfile(chunk_fault_share=0.0)
     spec = WorldSpec(samples_per_step=samples, num_steps=1, train_seconds=0.1, engine=engine, network=network)
     plan = Plan(spec)
@@ -341,10 +341,10 @@
 
 
 @given("the live latency while rollout fills the fleet")
-def p99_beside(p99: list[float]) -> None:
+def p99_during_rollout(p99: list[float]) -> None:
     p99.append(live_p99(is_rollout_on=True))
 
 
 @then(parsers.parse("the second p99 is at most {share:g} times the first"))
-def p99_kept(p99: list[float], share: float) -> None:
+def p99_bounded(p99: list[float], share: float) -> None:
     assert p99[1] <= share * p99[0]
--- a/tests/unit/test_determinism.py
+++ b/tests/unit/test_determinism.py
@@ -1,4 +1,4 @@
-"""The same seed gives the same history, in two processes with different hash seeds."""
+"""Guards against runs that depend on hash randomization: a seed gives the same history in every process."""
 
 import os
 import subprocess
