--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -17,7 +17,7 @@
 from worksramp.backends.http import HttpEngineClient
 from worksramp_emulator.engine import TokenRun
 from worksramp_emulator.load import LoadTarget, count_runs, run_completions, run_keyed_calls
-from worksramp_emulator.text import whole_completion
+from worksramp_emulator.text import expected_completion
 from worksramp_emulator.trainer import TrainerRecord
 from worksramp_emulator.trainer_http import read_record
 
@@ -196,7 +196,7 @@
         for address in deployment.engines:
             body = (await client.get(f"http://{address}/token_runs")).content
             for run in msgspec.json.decode(body, type=list[TokenRun]):
-                text = whole_completion(run.prompt, run.seed, run.max_tokens)
+                text = expected_completion(run.prompt, run.seed, run.max_tokens)
                 for index in range(run.start, run.end):
                     truth.setdefault((run.prompt, text, index), set()).add(run.weight_version)
     return truth
--- a/src/worksramp_emulator/application.py
+++ b/src/worksramp_emulator/application.py
@@ -53,11 +53,11 @@
     """What all workers of the application saw.
 
     Attributes:
-        killing_targets: requests that end each worker that begins to run them.
+        crashing_targets: requests that end each worker that begins to run them.
         num_resets: times that the connections of all workers broke.
     """
 
-    killing_targets: set[bytes] = field(default_factory=set)
+    crashing_targets: set[bytes] = field(default_factory=set)
     runs: list[ServedRun] = field(default_factory=list)
     crashes: list[CrashSeen] = field(default_factory=list)
     num_resets: int = 0
@@ -77,7 +77,7 @@
     """Run a live request at a worker, or end the worker with it."""
     worker_id = worker.entry.worker_id
     record.runs.append(ServedRun(anyio.current_time(), worker_id, node, request.target))
-    is_killing = request.target in record.killing_targets
+    is_killing = request.target in record.crashing_targets
     num_resets = record.num_resets
     worker.num_running += 1
     try:
--- a/src/worksramp_emulator/batch_fleet.py
+++ b/src/worksramp_emulator/batch_fleet.py
@@ -48,7 +48,7 @@
     return f"{item_id}.{number}"
 
 
-def whole_text(item_id: str) -> str:
+def complete_text(item_id: str) -> str:
     """Return an item's whole text."""
     return "\n".join(event_data(item_id, number) for number in range(num_events_of(item_id)))
 
@@ -86,7 +86,7 @@
         is_scorer: it answers scoring calls and runs no items.
         is_application: it answers live requests and runs no items.
         seconds_per_event: its pace.
-        is_dark: it answers nothing and its runs stand still.
+        is_unresponsive: it answers nothing and its runs stand still.
         late_orders: share of orders that are not answered and carried out later.
         break_share: share of events at which a run breaks off.
         fail_share: share of runs that it ends with an error of its own.
@@ -96,7 +96,7 @@
     entry: WorkerEntry
     seconds_per_event: float = 0.04
     versions: dict[str, int] = field(default_factory=dict)
-    is_dark: bool = False
+    is_unresponsive: bool = False
     is_gone: bool = False
     is_scorer: bool = False
     is_application: bool = False
@@ -119,11 +119,11 @@
         self.orders: list[OrderSeen] = []
         self.runs: list[tuple[float, str, str, str]] = []
         self.calls: list[CallSeen] = []
-        self.made_versions: dict[tuple[str, int], set[int]] = {}
-        self.made_at: dict[tuple[str, int], list[tuple[float, int]]] = {}
+        self.emitted_versions: dict[tuple[str, int], set[int]] = {}
+        self.emitted_at: dict[tuple[str, int], list[tuple[float, int]]] = {}
         self.application = ApplicationRecord()
         #: The machines of workers that ended are gone too: nobody refuses a connection to them.
-        self.hides_ends = False
+        self.are_ended_workers_silent = False
         self.source = source
         self._background = background
 
@@ -131,7 +131,7 @@
         """Add a worker."""
         self.workers[worker.entry.worker_id] = worker
 
-    def take_order(self, worker: FleetWorker, order: VersionOrder) -> OrderOutcome:
+    def apply_order(self, worker: FleetWorker, order: VersionOrder) -> OrderOutcome:
         """Carry out an order now."""
         if order.fence < worker.highest_fence:
             return OrderRefused("fence", is_fenced=True)
@@ -157,7 +157,7 @@
 
         async def run() -> None:
             await anyio.sleep(delay)
-            self.take_order(worker, order)
+            self.apply_order(worker, order)
 
         self._background.start_soon(run)
 
@@ -182,8 +182,10 @@
         target = self._fleet.workers.get(worker.worker_id)
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
-            raise WorkerUnreachableError(worker.worker_id, is_refusal=not self._fleet.hides_ends)
-        if target.is_dark:
+            raise WorkerUnreachableError(
+                worker.worker_id, is_refusal=not self._fleet.are_ended_workers_silent
+            )
+        if target.is_unresponsive:
             await anyio.sleep_forever()
         if target.num_running >= target.entry.num_slots or target.loading == self._model:
             yield self._answer(503, target, request, is_not_run=True)
@@ -219,7 +221,7 @@
         target.num_running += 1
         try:
             await anyio.sleep(SCORING_S)
-            while target.is_dark:
+            while target.is_unresponsive:
                 await anyio.sleep(SCORING_S)
             if target.is_gone or fleet.source.random() < target.break_share:
                 raise WorkerAnswerBrokenError(target.entry.worker_id)
@@ -261,7 +263,7 @@
         told = worker.versions.get(self._model, 0)
         for number in range(first, num_events_of(item_id)):
             await anyio.sleep(worker.seconds_per_event)
-            while worker.is_dark or worker.loading:
+            while worker.is_unresponsive or worker.loading:
                 await anyio.sleep(worker.seconds_per_event)
             if worker.is_gone:
                 raise WorkerAnswerBrokenError(worker.entry.worker_id)
@@ -272,8 +274,8 @@
             if self._fleet.source.random() < worker.break_share:
                 yield block[: len(block) // 2]
                 raise WorkerAnswerBrokenError(worker.entry.worker_id)
-            self._fleet.made_versions.setdefault((item_id, number), set()).add(version)
-            self._fleet.made_at.setdefault((item_id, number), []).append((anyio.current_time(), version))
+            self._fleet.emitted_versions.setdefault((item_id, number), set()).add(version)
+            self._fleet.emitted_at.setdefault((item_id, number), []).append((anyio.current_time(), version))
             yield block
 
     async def listener_state(self, worker: WorkerEntry) -> ListenerState:
@@ -281,8 +283,8 @@
         target = self._fleet.workers.get(worker.worker_id)
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
-            return ListenerState.SILENT if self._fleet.hides_ends else ListenerState.REFUSES
-        return ListenerState.SILENT if target.is_dark else ListenerState.ACCEPTS
+            return ListenerState.SILENT if self._fleet.are_ended_workers_silent else ListenerState.REFUSES
+        return ListenerState.SILENT if target.is_unresponsive else ListenerState.ACCEPTS
 
     async def order_version(self, worker: WorkerEntry, order: VersionOrder) -> OrderOutcome:
         """Order a worker to take a version."""
@@ -293,14 +295,14 @@
         self._fleet.orders.append(
             OrderSeen(anyio.current_time(), worker.worker_id, order.holder, order.fence, order.version)
         )
-        if target.is_dark:
+        if target.is_unresponsive:
             await anyio.sleep(SILENT_CALL_SECONDS)
             return OrderOpen("dark")
         if self._fleet.source.random() < target.late_orders:
             self._fleet.order_later(target, order, self._fleet.source.uniform(2.0, 12.0))
             await anyio.sleep(SILENT_CALL_SECONDS)
             return OrderOpen("late")
-        return self._fleet.take_order(target, order)
+        return self._fleet.apply_order(target, order)
 
     async def report(self, worker: WorkerEntry) -> WorkerReport | None:
         """Return a worker's report, None when it gave none."""
@@ -308,7 +310,7 @@
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
             return None
-        if target.is_dark:
+        if target.is_unresponsive:
             await anyio.sleep(SILENT_CALL_SECONDS)
             return None
         return WorkerReport(
--- a/src/worksramp_emulator/load.py
+++ b/src/worksramp_emulator/load.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from worksramp.gateway.callers import Completion
-from worksramp_emulator.text import whole_completion
+from worksramp_emulator.text import expected_completion
 
 TIMEOUT_SECONDS = 60.0
 OK = 200
@@ -92,7 +92,7 @@
         return
     record.seconds.append(anyio.current_time() - started_at)
     completion = msgspec.json.decode(response.content, type=Completion)
-    if completion.choices[0].text != whole_completion(prompt, number, target.max_tokens):
+    if completion.choices[0].text != expected_completion(prompt, number, target.max_tokens):
         record.num_wrong += 1
 
 
--- a/src/worksramp_emulator/shared_log.py
+++ b/src/worksramp_emulator/shared_log.py
@@ -42,7 +42,7 @@
         lost_answers: share of appends that are done and not answered.
         lost_topics: topics whose answers are lost, None for all.
         late_appends: share of appends that are not answered and done seconds later.
-        cut_nodes: nodes that the store does not reach.
+        partitioned_nodes: nodes that the store does not reach.
         answer_seconds: time of an answer.
     """
 
@@ -52,7 +52,7 @@
     lost_topics: frozenset[str] | None = None
     late_appends: float = 0.0
     late_seconds: tuple[float, float] = (1.0, 6.0)
-    cut_nodes: set[str] = field(default_factory=set)
+    partitioned_nodes: set[str] = field(default_factory=set)
     answer_seconds: float = 0.004
 
 
@@ -86,7 +86,7 @@
         """Return a partition, which comes into being on its first use."""
         return self._partitions.setdefault(partition, _PartitionState())
 
-    def forget_records(self, partition: Partition) -> None:
+    def apply_retention(self, partition: Partition) -> None:
         """Drop all records that are not the newest of their key, as retention does."""
         state = self.state(partition)
         state.first_kept = len(state.records)
@@ -162,7 +162,7 @@
             LogUnavailableError: the store is not there for this node.
         """
         self.num_calls += 1
-        if node in self.faults.cut_nodes or (self.faults.is_down and self.faults.is_silent):
+        if node in self.faults.partitioned_nodes or (self.faults.is_down and self.faults.is_silent):
             await anyio.sleep(CALL_TIMEOUT_SECONDS)
             raise LogUnavailableError(step, "store", "no answer")
         await anyio.sleep(self.faults.answer_seconds / 2)
@@ -207,7 +207,7 @@
     ) -> AppendOutcome:
         """Append all records or none."""
         store = self._store
-        is_silent = self._node in store.faults.cut_nodes or store.faults.is_silent
+        is_silent = self._node in store.faults.partitioned_nodes or store.faults.is_silent
         try:
             await store.pass_link(self._node, "append")
         except LogUnavailableError as error:
--- a/src/worksramp_emulator/simulation/batch_checkers.py
+++ b/src/worksramp_emulator/simulation/batch_checkers.py
@@ -2,7 +2,7 @@
 
 from worksramp.rollout.batches import BatchResult, ResultRecord
 from worksramp.wire import decode
-from worksramp_emulator.batch_fleet import num_events_of, whole_text
+from worksramp_emulator.batch_fleet import complete_text, num_events_of
 from worksramp_emulator.simulation.batch_world import BatchWorld, StepRecord, call_of
 
 #: Items and scoring calls may still reach a worker this long after the end of their batch.
@@ -62,14 +62,14 @@
             found.append(f"{step.batch_id} lists {result.item_id} of another batch")
         if not result.is_completed:
             continue
-        if result.text != whole_text(result.item_id):
+        if result.text != complete_text(result.item_id):
             found.append(f"{step.batch_id}/{position}: text of {result.item_id} is not whole: {result.text}")
         if min(result.versions) < step.min_version:
             found.append(f"{step.batch_id}/{position}: versions {result.versions} under {step.min_version}")
         if world.spec.needs_one_version and len(result.versions) != 1:
             found.append(f"{step.batch_id}/{position}: versions {result.versions} are not one")
         made = [
-            world.fleet.made_versions.get((result.item_id, number), set())
+            world.fleet.emitted_versions.get((result.item_id, number), set())
             for number in range(num_events_of(result.item_id))
         ]
         if any(not versions & set(result.versions) for versions in made):
@@ -85,7 +85,7 @@
     Args:
         versions: those that the last event may come from, None for any.
     """
-    made = world.fleet.made_at.get((item_id, num_events_of(item_id) - 1), [])
+    made = world.fleet.emitted_at.get((item_id, num_events_of(item_id) - 1), [])
     return min((at for at, version in made if versions is None or version in versions), default=float("inf"))
 
 
--- a/src/worksramp_emulator/simulation/batch_troubles.py
+++ b/src/worksramp_emulator/simulation/batch_troubles.py
@@ -47,9 +47,9 @@
 
 async def cut_node(world: BatchWorld, slot: NodeSlot, seconds: float) -> None:
     """Have the store out of one node's reach for a while."""
-    world.store.faults.cut_nodes.add(slot.name)
+    world.store.faults.partitioned_nodes.add(slot.name)
     await anyio.sleep(seconds)
-    world.store.faults.cut_nodes.discard(slot.name)
+    world.store.faults.partitioned_nodes.discard(slot.name)
 
 
 async def kill_all(world: BatchWorld) -> None:
@@ -72,20 +72,20 @@
 
 async def forget(world: BatchWorld) -> None:
     """Drop all records that are not the newest of their key."""
-    world.store.forget_records(world.records.batches)
-    world.store.forget_records(world.records.control)
-    world.store.forget_records(world.records.workers)
-    world.store.forget_records(world.records.progress)
+    world.store.apply_retention(world.records.batches)
+    world.store.apply_retention(world.records.control)
+    world.store.apply_retention(world.records.workers)
+    world.store.apply_retention(world.records.progress)
     for partition in world.records.values:
-        world.store.forget_records(partition)
+        world.store.apply_retention(partition)
 
 
 async def darken_worker(world: BatchWorld, seconds: float) -> None:
     """Have one worker answer nothing for a while."""
     worker = world.source.choice(sorted(world.fleet.workers.values(), key=lambda w: w.entry.worker_id))
-    worker.is_dark = True
+    worker.is_unresponsive = True
     await anyio.sleep(seconds)
-    worker.is_dark = False
+    worker.is_unresponsive = False
 
 
 async def slow_worker(world: BatchWorld, seconds: float) -> None:
@@ -153,10 +153,10 @@
 async def darken_scorers(world: BatchWorld, seconds: float, count: int | None = None) -> None:
     """Have scorers answer nothing for a while."""
     for scorer in scorers(world)[:count]:
-        scorer.is_dark = True
+        scorer.is_unresponsive = True
     await anyio.sleep(seconds)
     for scorer in scorers(world)[:count]:
-        scorer.is_dark = False
+        scorer.is_unresponsive = False
 
 
 async def for_scorers(world: BatchWorld, seconds: float, name: str, value: float) -> None:
--- a/src/worksramp_emulator/simulation/batch_world.py
+++ b/src/worksramp_emulator/simulation/batch_world.py
@@ -210,7 +210,7 @@
     def restart_worker(self, worker_id: str) -> None:
         """Have a worker lose power and start again under its id; its former connections fall silent."""
         former = self.fleet.workers[worker_id]
-        former.is_dark = True
+        former.is_unresponsive = True
         started_ms = former.entry.started_ms + 1 + int(1000 * anyio.current_time())
         entry = replace(former.entry, started_ms=started_ms, model_versions=dict(former.versions))
         self.fleet.add(FleetWorker(entry, versions=dict(former.versions)))
--- a/src/worksramp_emulator/simulation/checkers.py
+++ b/src/worksramp_emulator/simulation/checkers.py
@@ -16,7 +16,7 @@
 )
 from worksramp_emulator.simulation.world import World
 from worksramp_emulator.simulation.world_spec import JOB, TENANT
-from worksramp_emulator.text import whole_completion
+from worksramp_emulator.text import expected_completion
 
 MAX_LEAVING_SECONDS = 5.0
 MAX_CONFIGURATION_SECONDS = 6.0
@@ -35,7 +35,7 @@
     truth: dict[tuple[str, str, int], set[int]] = {}
     for engine in world.cores.engines.values():
         for run in engine.token_runs:
-            text = whole_completion(run.prompt, run.seed, run.max_tokens)
+            text = expected_completion(run.prompt, run.seed, run.max_tokens)
             for index in range(run.start, run.end):
                 truth.setdefault((run.request_id, text, index), set()).add(run.weight_version)
     by_text: dict[tuple[str, int], set[int]] = {}
@@ -100,7 +100,7 @@
 
 def _is_some_completion(world: World, prompt: str, text: str) -> bool:
     return any(
-        run.prompt == prompt and whole_completion(run.prompt, run.seed, run.max_tokens) == text
+        run.prompt == prompt and expected_completion(run.prompt, run.seed, run.max_tokens) == text
         for engine in world.cores.engines.values()
         for run in engine.token_runs
         if run.prompt == prompt
--- a/src/worksramp_emulator/simulation/live_checkers.py
+++ b/src/worksramp_emulator/simulation/live_checkers.py
@@ -14,7 +14,7 @@
     """A request that ends workers reaches few more of them once it has ended three."""
     record = world.fleet.application
     found: list[str] = []
-    for target in sorted(record.killing_targets):
+    for target in sorted(record.crashing_targets):
         ended = sorted(crash.at for crash in record.crashes if crash.target == target)
         if len(ended) < MAX_CRASHES:
             continue
@@ -34,7 +34,7 @@
 
 def check_innocents(world: LiveWorld) -> list[str]:
     """No request that ends no worker is refused for the crashes of others."""
-    killing = world.fleet.application.killing_targets
+    killing = world.fleet.application.crashing_targets
     innocent = [caller_try for caller_try in world.tries if caller_try.target not in killing]
     refused = [caller_try for caller_try in innocent if caller_try.outcome == QUARANTINED]
     if not refused:
--- a/src/worksramp_emulator/simulation/live_world.py
+++ b/src/worksramp_emulator/simulation/live_world.py
@@ -156,7 +156,7 @@
 
     async def come_again(self, target: bytes, num_times: int, pause_s: float) -> None:
         """Have one caller send a request that ends workers, time after time."""
-        self.fleet.application.killing_targets.add(target)
+        self.fleet.application.crashing_targets.add(target)
         for _ in range(num_times):
             await self.call(target)
             await anyio.sleep(pause_s)
--- a/src/worksramp_emulator/simulation/world.py
+++ b/src/worksramp_emulator/simulation/world.py
@@ -45,7 +45,7 @@
     peer_address,
     tenant_document,
 )
-from worksramp_emulator.text import whole_completion
+from worksramp_emulator.text import expected_completion
 from worksramp_emulator.trainer import FetchResult, TrainerRecord, decode_batch, run_trainer
 
 OBSERVE_SECONDS = 0.05
@@ -180,7 +180,7 @@
             outcome, error = "not_run", failure
         except StepError as failure:
             outcome, error = "unknown", failure
-        is_whole = text == whole_completion(prompt, seed, LIVE_MAX_TOKENS)
+        is_whole = text == expected_completion(prompt, seed, LIVE_MAX_TOKENS)
         self._note_live(request.request_id, outcome, is_whole, asked_at, deadline_seconds, error)
 
     async def ask_keyed(self, key: str, body: bytes, deadline_seconds: float = 10.0) -> str:
--- a/src/worksramp_emulator/text.py
+++ b/src/worksramp_emulator/text.py
@@ -36,7 +36,7 @@
     return f"w{xxhash.xxh32_intdigest(f'{prompt}|{seed}|{index}'.encode()):08x} "
 
 
-def whole_completion(prompt: str, seed: int, max_tokens: int) -> str:
+def expected_completion(prompt: str, seed: int, max_tokens: int) -> str:
     """Return the completion that the emulated model gives."""
     length = completion_length(prompt, seed, max_tokens)
     return "".join(token_at(prompt, seed, index) for index in range(length))
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -154,7 +154,7 @@
             body["fence"],
             body.get("expectedRev"),
         )
-        outcome = self._fleet.take_order(self._worker, order)
+        outcome = self._fleet.apply_order(self._worker, order)
         return {OrderTaken: 202, OrderHeldAlready: 200}.get(type(outcome), 409)
 
     async def _run(self, headers: dict[str, str], send: Send) -> None:
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -17,7 +17,7 @@
 from worksramp.edge.node import EdgeNode
 from worksramp.edge.settings import EdgeSettings, StoreSettings
 from worksramp.logs import configure_logs
-from worksramp_emulator.batch_fleet import BatchFleet, FleetPort, FleetWorker, whole_text
+from worksramp_emulator.batch_fleet import BatchFleet, FleetPort, FleetWorker, complete_text
 from worksramp_emulator.shared_log import LogClient, LogStore
 
 HOST = "shop.example"
@@ -133,7 +133,10 @@
             page = answer.json()
             results += page["results"]
             assert (page["total"], page["nextToken"]) == (2, len(results))
-        assert {r["id"]: r["message"] for r in results} == {"i1": whole_text("i1"), "i2": whole_text("i2")}
+        assert {r["id"]: r["message"] for r in results} == {
+            "i1": complete_text("i1"),
+            "i2": complete_text("i2"),
+        }
         assert all(r["state"] == "completed" and r["versions"] == [1] for r in results)
         for _ in range(2):
             assert (await client.delete("/api/lots/b1")).status_code == 200
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -22,7 +22,7 @@
 from tests.platform.test_callers import CONFIGURATION, HOST, RECORDS, lot
 from worksramp.coordination.shared_log import KeyedRecord
 from worksramp.routing.workers import WorkerEntry
-from worksramp_emulator.batch_fleet import BatchFleet, FleetWorker, whole_text
+from worksramp_emulator.batch_fleet import BatchFleet, FleetWorker, complete_text
 from worksramp_emulator.shared_log import LogStore
 
 PLATFORM = Path(__file__).parents[2] / "platform"
@@ -129,7 +129,7 @@
                 page = await client.get("/api/lots/b1", params={"afterRev": len(results)})
                 results += page.json()["results"]
                 await anyio.sleep(0.05)
-            assert {r["id"]: r["message"] for r in results} == {i: whole_text(i) for i in ("i1", "i2")}
+            assert {r["id"]: r["message"] for r in results} == {i: complete_text(i) for i in ("i1", "i2")}
             seen = node.worker.seen[0]
             assert (seen["host"], seen["path"], seen["body"]) == (HOST, "/drafts/1", "abcdef")
             named = KeyedRecord("version/m", b'{"model":"m","version":2}')
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -87,7 +87,7 @@
 def test_a_place_that_is_no_longer_kept_is_named() -> None:
     async def work(log: StoreLog, app: StoreApp) -> None:
         await log.append(PARTITION, RECORDS)
-        app.store.forget_records(PARTITION)
+        app.store.apply_retention(PARTITION)
         assert await log.read(PARTITION, 1, 0.0) == RecordsGone(3)
 
     with_store(work)
--- a/tests/steps/test_batches.py
+++ b/tests/steps/test_batches.py
@@ -244,7 +244,7 @@
     fleet = plan.played.fleet
     made_twice = {
         item_id
-        for (item_id, number), made in fleet.made_at.items()
+        for (item_id, number), made in fleet.emitted_at.items()
         if number == num_events_of(item_id) - 1 and len(made) > 1
     }
     assert made_twice == set()
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -162,7 +162,7 @@
 
 def test_a_worker_whose_host_is_gone_counts_as_crashed_once_its_entry_disappears() -> None:
     async def work(world: LiveWorld) -> None:
-        world.fleet.hides_ends = True
+        world.fleet.are_ended_workers_silent = True
         await retry_often(world)
 
     world = simulate(work)
--- a/tests/unit/test_value_store.py
+++ b/tests/unit/test_value_store.py
@@ -60,7 +60,7 @@
         names = [f"g/{number:06}" for number in range(120)]
         wanted = locations(names, await values.put("g", records(*names), 1.0))
         await values.put("g", records("f/1", "h/1"), 1.0)
-        store.forget_records(values.partition_of("g"))
+        store.apply_retention(values.partition_of("g"))
         assert sorted(await values.fetch("g", wanted)) == names
         assert list(await values.fetch("g", wanted[57:58])) == [names[57]]
 
@@ -115,7 +115,7 @@
         assert [result.text for result in results] == [text, ""]
         # The text of a previous owner at the same position is stored under another key.
         await values.put("b", records_of_text("b", 0, 2, "late", 64), 1.0)
-        store.forget_records(values.partition_of("b"))
+        store.apply_retention(values.partition_of("b"))
         assert (await BatchValues(values).results(batch, [0]))[0].text == text
         keys = {record.key for record in value_tombstones(batch)}
         assert {record.key for record in written} <= keys
@@ -131,7 +131,7 @@
         placed = await batch_values.put_items(header, items, 1.0)
         assert isinstance(placed, BatchHeader)
         assert await batch_values.items(placed, range(12)) == dict(enumerate(items))
-        store.forget_records(values.partition_of("b"))
+        store.apply_retention(values.partition_of("b"))
         assert await batch_values.items(placed, [11]) == {11: items[11]}
 
     play(work)
