--- a/src/worksramp_emulator/batch_fleet.py
+++ b/src/worksramp_emulator/batch_fleet.py
@@ -1,6 +1,6 @@
-"""Stand-in for a fleet of model workers that run items of batches, with the faults such workers have.
+"""Emulated fleet of model workers that run the items of batches, with injected faults.
 
-An item's text is a function of its id, so that checkers know what every whole text must be.
+An item's text is a function of its id, so that checkers can compute the complete text of every item.
 """
 
 import random
@@ -31,7 +31,7 @@
 from worksramp_emulator.application import ApplicationRecord, served
 
 VERSION_FIELD = "weight-version"
-#: What a scorer needs for one call.
+#: Service time of a scoring call.
 SCORING_S = 0.03
 LOAD_SECONDS = 0.9
 SILENT_CALL_SECONDS = 0.8
@@ -39,23 +39,23 @@
 
 
 def num_events_of(item_id: str) -> int:
-    """Return how many events an item's whole text has."""
+    """Return the number of events in an item's complete text."""
     return MIN_EVENTS + xxhash.xxh32_intdigest(item_id.encode()) % (MAX_EVENTS - MIN_EVENTS)
 
 
 def event_data(item_id: str, number: int) -> str:
-    """Return the data of one event of an item."""
+    """Return the data of one event of an item; events are numbered from 0."""
     return f"{item_id}.{number}"
 
 
 def complete_text(item_id: str) -> str:
-    """Return an item's whole text."""
+    """Return an item's complete text."""
     return "\n".join(event_data(item_id, number) for number in range(num_events_of(item_id)))
 
 
 @dataclass(frozen=True, slots=True)
-class OrderSeen:
-    """An order as a worker got it."""
+class ReceivedOrder:
+    """A version order that reached a worker, which may have been unresponsive."""
 
     at: float
     worker_id: str
@@ -65,11 +65,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallSeen:
-    """A scoring call as it reached a scorer.
+class ReceivedCall:
+    """A scoring call that a scorer received.
 
     Attributes:
-        signature: of the answer that the scorer made, empty text when that was no good one.
+        signature: signature of the scorer's answer, an empty string if the call failed.
     """
 
     at: float
@@ -80,17 +80,20 @@
 
 @dataclass(slots=True)
 class FleetWorker:
-    """One worker.
+    """One emulated worker: its state and its faults.
 
     Attributes:
-        is_scorer: it answers scoring calls and runs no items.
-        is_application: it answers live requests and runs no items.
-        seconds_per_event: its pace.
-        is_unresponsive: it answers nothing and its runs stand still.
-        late_orders: share of orders that are not answered and carried out later.
-        break_share: share of events at which a run breaks off.
-        fail_share: share of runs that it ends with an error of its own.
-        failing_items: ids of items or scoring calls that it ends with an error each time.
+        seconds_per_event: time between two events of a run.
+        is_unresponsive: whether it answers nothing; its runs make no progress meanwhile.
+        is_gone: whether it has ended, and its connections are broken.
+        is_scorer: whether it answers scoring calls instead of running items.
+        is_application: whether it answers live requests instead of running items.
+        late_orders: share of orders that are not answered and are applied later.
+        break_share: share of events, or of scoring calls, at which the connection breaks.
+        fail_share: share of runs or scoring calls that end with status 500.
+        failing_items: ids of items or scoring calls that always end with status 500.
+        impossible_items: ids of items that always end with status 422.
+        loading: model whose weights it loads now, an empty string for none.
     """
 
     entry: WorkerEntry
@@ -112,27 +115,38 @@
 
 
 class BatchFleet:
-    """All workers, and what they saw."""
+    """All emulated workers, and a record of what they received and emitted.
+
+    Attributes:
+        runs: runs of items as (time, calling node, worker id, item id).
+        emitted_versions: weight versions that emitted an event, by item id and event number.
+        emitted_at: times and weight versions at which an event was emitted, by item id and event number.
+    """
 
     def __init__(self, source: random.Random, background: anyio.abc.TaskGroup) -> None:
         self.workers: dict[str, FleetWorker] = {}
-        self.orders: list[OrderSeen] = []
+        self.orders: list[ReceivedOrder] = []
         self.runs: list[tuple[float, str, str, str]] = []
-        self.calls: list[CallSeen] = []
+        self.calls: list[ReceivedCall] = []
         self.emitted_versions: dict[tuple[str, int], set[int]] = {}
         self.emitted_at: dict[tuple[str, int], list[tuple[float, int]]] = {}
         self.application = ApplicationRecord()
-        #: The machines of workers that ended are gone too: nobody refuses a connection to them.
+        #: The machine of an ended worker is gone too, so that connection attempts get no answer.
         self.are_ended_workers_silent = False
         self.source = source
         self._background = background
 
     def add(self, worker: FleetWorker) -> None:
-        """Add a worker."""
+        """Add a worker, or replace the one with the same id."""
         self.workers[worker.entry.worker_id] = worker
 
     def apply_order(self, worker: FleetWorker, order: VersionOrder) -> OrderOutcome:
-        """Carry out an order now."""
+        """Apply an order now.
+
+        The order is refused if its fence is lower than one seen before, if a load is in progress, or if it
+        expects another order sequence number than the worker's. An order for a version that the worker already
+        has changes nothing.
+        """
         if order.fence < worker.highest_fence:
             return OrderRefused("fence", is_fenced=True)
         worker.highest_fence = order.fence
@@ -152,8 +166,8 @@
         worker.versions[order.model] = order.version
         worker.loading = ""
 
-    def order_later(self, worker: FleetWorker, order: VersionOrder, delay: float) -> None:
-        """Carry out an order some seconds from now."""
+    def apply_order_later(self, worker: FleetWorker, order: VersionOrder, delay: float) -> None:
+        """Apply an order after a delay in seconds."""
 
         async def run() -> None:
             await anyio.sleep(delay)
@@ -163,10 +177,11 @@
 
 
 class FleetPort(WorkerPort):
-    """One node's calls to the fleet.
+    """Client of the fleet for one node.
 
     Args:
-        model_of: model of an item, by its id.
+        node: name of the calling node, for the records of the fleet.
+        model: model of all items; its weight version is sent with each answer.
     """
 
     version_field = VERSION_FIELD
@@ -178,7 +193,13 @@
 
     @asynccontextmanager
     async def send(self, worker: WorkerEntry, request: WorkerRequest) -> AsyncIterator[WorkerAnswer]:
-        """Run an item at a worker."""
+        """Send an item, a scoring call or a live request to a worker.
+
+        The answer has status 503 if all slots are in use or if the model's weights are being loaded.
+
+        Raises:
+            WorkerUnreachableError: the worker does not exist or has ended.
+        """
         target = self._fleet.workers.get(worker.worker_id)
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
@@ -195,7 +216,7 @@
                 yield answer
             return
         if target.is_scorer:
-            async with self._scored(target, request) as answer:
+            async with self._score(target, request) as answer:
                 yield answer
             return
         self._fleet.runs.append((anyio.current_time(), self._node, worker.worker_id, request.request_id))
@@ -213,11 +234,11 @@
             target.num_running -= 1
 
     @asynccontextmanager
-    async def _scored(self, target: FleetWorker, request: WorkerRequest) -> AsyncIterator[WorkerAnswer]:
+    async def _score(self, target: FleetWorker, request: WorkerRequest) -> AsyncIterator[WorkerAnswer]:
         fleet, call_id = self._fleet, request.request_id
         is_bad = call_id in target.failing_items or fleet.source.random() < target.fail_share
         signature = "" if is_bad else f"{target.entry.worker_id}.{call_id}.{len(fleet.calls)}"
-        fleet.calls.append(CallSeen(anyio.current_time(), target.entry.worker_id, call_id, signature))
+        fleet.calls.append(ReceivedCall(anyio.current_time(), target.entry.worker_id, call_id, signature))
         target.num_running += 1
         try:
             await anyio.sleep(SCORING_S)
@@ -234,12 +255,12 @@
                 signature=signature or target.entry.worker_id,
                 load=None,
                 weight_version=None,
-                body=self._no_body(),
+                body=self._score_body(),
             )
         finally:
             target.num_running -= 1
 
-    async def _no_body(self) -> AsyncIterator[bytes]:
+    async def _score_body(self) -> AsyncIterator[bytes]:
         yield b"scored"
 
     def _answer(
@@ -260,7 +281,7 @@
     async def _events(self, worker: FleetWorker, request: WorkerRequest) -> AsyncIterator[bytes]:
         item_id = request.request_id
         first = 0 if request.resume_after is None else int(request.resume_after) + 1
-        told = worker.versions.get(self._model, 0)
+        announced = worker.versions.get(self._model, 0)
         for number in range(first, num_events_of(item_id)):
             await anyio.sleep(worker.seconds_per_event)
             while worker.is_unresponsive or worker.loading:
@@ -268,9 +289,9 @@
             if worker.is_gone:
                 raise WorkerAnswerBrokenError(worker.entry.worker_id)
             version = worker.versions.get(self._model, 0)
-            head = "" if version == told else f"{VERSION_FIELD}: {version}\n"
-            told = version
-            block = f"{head}id: {number}\ndata: {event_data(item_id, number)}\n\n".encode()
+            version_line = "" if version == announced else f"{VERSION_FIELD}: {version}\n"
+            announced = version
+            block = f"{version_line}id: {number}\ndata: {event_data(item_id, number)}\n\n".encode()
             if self._fleet.source.random() < worker.break_share:
                 yield block[: len(block) // 2]
                 raise WorkerAnswerBrokenError(worker.entry.worker_id)
@@ -279,7 +300,7 @@
             yield block
 
     async def listener_state(self, worker: WorkerEntry) -> ListenerState:
-        """Return whether a worker takes connections now."""
+        """Return how a worker's listener reacts to a connection attempt now."""
         target = self._fleet.workers.get(worker.worker_id)
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
@@ -287,25 +308,25 @@
         return ListenerState.SILENT if target.is_unresponsive else ListenerState.ACCEPTS
 
     async def order_version(self, worker: WorkerEntry, order: VersionOrder) -> OrderOutcome:
-        """Order a worker to take a version."""
+        """Order a worker to load a weight version."""
         target = self._fleet.workers.get(worker.worker_id)
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
             return OrderRefused("unreachable")
         self._fleet.orders.append(
-            OrderSeen(anyio.current_time(), worker.worker_id, order.holder, order.fence, order.version)
+            ReceivedOrder(anyio.current_time(), worker.worker_id, order.holder, order.fence, order.version)
         )
         if target.is_unresponsive:
             await anyio.sleep(SILENT_CALL_SECONDS)
-            return OrderOpen("dark")
+            return OrderOpen("no answer")
         if self._fleet.source.random() < target.late_orders:
-            self._fleet.order_later(target, order, self._fleet.source.uniform(2.0, 12.0))
+            self._fleet.apply_order_later(target, order, self._fleet.source.uniform(2.0, 12.0))
             await anyio.sleep(SILENT_CALL_SECONDS)
             return OrderOpen("late")
         return self._fleet.apply_order(target, order)
 
     async def report(self, worker: WorkerEntry) -> WorkerReport | None:
-        """Return a worker's report, None when it gave none."""
+        """Return a worker's report, or None if it does not answer."""
         target = self._fleet.workers.get(worker.worker_id)
         await anyio.sleep(0.002)
         if target is None or target.is_gone:
