--- a/src/worksramp_emulator/batch_fleet.py
+++ b/src/worksramp_emulator/batch_fleet.py
@@ -123,7 +123,7 @@
         emitted_at: times and weight versions at which an event was emitted, by item id and event number.
     """
 
-    def __init__(self, source: random.Random, background: anyio.abc.TaskGroup) -> None:
+    def __init__(self, rng: random.Random, background: anyio.abc.TaskGroup) -> None:
         self.workers: dict[str, FleetWorker] = {}
         self.orders: list[ReceivedOrder] = []
         self.runs: list[tuple[float, str, str, str]] = []
@@ -133,7 +133,7 @@
         self.application = ApplicationRecord()
         #: The machine of an ended worker is gone too, so that connection attempts get no answer.
         self.are_ended_workers_silent = False
-        self.source = source
+        self.rng = rng
         self._background = background
 
     def add(self, worker: FleetWorker) -> None:
@@ -144,8 +144,8 @@
         """Apply an order now.
 
         The order is refused if its fence is lower than one seen before, if a load is in progress, or if it
-        expects another order sequence number than the worker's. An order for a version that the worker already
-        has changes nothing.
+        expects another order sequence number than the worker's. An order for a version that the worker
+        already has changes nothing.
         """
         if order.fence < worker.highest_fence:
             return OrderRefused("fence", is_fenced=True)
@@ -223,7 +223,7 @@
         if request.request_id in target.impossible_items:
             yield self._answer(422, target, request)
             return
-        has_failed = target.fail_share > 0 and self._fleet.source.random() < target.fail_share
+        has_failed = target.fail_share > 0 and self._fleet.rng.random() < target.fail_share
         if has_failed or request.request_id in target.failing_items:
             yield self._answer(500, target, request)
             return
@@ -236,7 +236,7 @@
     @asynccontextmanager
     async def _score(self, target: FleetWorker, request: WorkerRequest) -> AsyncIterator[WorkerAnswer]:
         fleet, call_id = self._fleet, request.request_id
-        is_bad = call_id in target.failing_items or fleet.source.random() < target.fail_share
+        is_bad = call_id in target.failing_items or fleet.rng.random() < target.fail_share
         signature = "" if is_bad else f"{target.entry.worker_id}.{call_id}.{len(fleet.calls)}"
         fleet.calls.append(ReceivedCall(anyio.current_time(), target.entry.worker_id, call_id, signature))
         target.num_running += 1
@@ -244,7 +244,7 @@
             await anyio.sleep(SCORING_S)
             while target.is_unresponsive:
                 await anyio.sleep(SCORING_S)
-            if target.is_gone or fleet.source.random() < target.break_share:
+            if target.is_gone or fleet.rng.random() < target.break_share:
                 raise WorkerAnswerBrokenError(target.entry.worker_id)
             yield WorkerAnswer(
                 status=500 if is_bad else 200,
@@ -292,7 +292,7 @@
             version_line = "" if version == announced else f"{VERSION_FIELD}: {version}\n"
             announced = version
             block = f"{version_line}id: {number}\ndata: {event_data(item_id, number)}\n\n".encode()
-            if self._fleet.source.random() < worker.break_share:
+            if self._fleet.rng.random() < worker.break_share:
                 yield block[: len(block) // 2]
                 raise WorkerAnswerBrokenError(worker.entry.worker_id)
             self._fleet.emitted_versions.setdefault((item_id, number), set()).add(version)
@@ -319,8 +319,8 @@
         if target.is_unresponsive:
             await anyio.sleep(SILENT_CALL_SECONDS)
             return OrderOpen("no answer")
-        if self._fleet.source.random() < target.late_orders:
-            self._fleet.apply_order_later(target, order, self._fleet.source.uniform(2.0, 12.0))
+        if self._fleet.rng.random() < target.late_orders:
+            self._fleet.apply_order_later(target, order, self._fleet.rng.uniform(2.0, 12.0))
             await anyio.sleep(SILENT_CALL_SECONDS)
             return OrderOpen("late")
         return self._fleet.apply_order(target, order)
--- a/src/worksramp_emulator/shared_log.py
+++ b/src/worksramp_emulator/shared_log.py
@@ -1,6 +1,7 @@
-"""Stand-in for a store with keyed partitions, conditions and fences, with the faults such a store has.
+"""Emulated store with keyed partitions, conditional appends and fences, and with injected faults.
 
-Lives in memory and on anyio's clock, so that it serves simulations on a virtual clock as well.
+It keeps all records in memory and takes the time from anyio, so that it also runs on the virtual clock of the
+simulations.
 """
 
 import random
@@ -28,22 +29,24 @@
     StoredRecord,
 )
 
-NUM_REMEMBERED_ANSWERS = 5
+NUM_KEPT_ANSWERS = 5
 PAGE_SIZE = 50
 CALL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class LogFaults:
-    """What goes wrong now.
+    """Faults that the store injects now.
 
     Attributes:
-        is_down: every call fails; silent when ``is_silent``, refused otherwise.
-        lost_answers: share of appends that are done and not answered.
-        lost_topics: topics whose answers are lost, None for all.
-        late_appends: share of appends that are not answered and done seconds later.
-        partitioned_nodes: nodes that the store does not reach.
-        answer_seconds: time of an answer.
+        is_down: whether every call fails, by a timeout if ``is_silent``, and with a refusal otherwise.
+        is_silent: whether calls to a store that is down time out.
+        lost_answers: share of appends that are applied but not answered.
+        lost_topics: topics whose answers can be lost, or None for all.
+        late_appends: share of appends that are not answered and are applied later.
+        late_seconds: shortest and longest delay of a late append.
+        partitioned_nodes: names of nodes that cannot reach the store.
+        answer_seconds: time from a call to its answer.
     """
 
     is_down: bool = False
@@ -73,26 +76,29 @@
 
 
 class LogStore:
-    """The store itself, shared by all nodes' clients."""
+    """The store that the clients of all nodes share."""
 
-    def __init__(self, source: random.Random, background: anyio.abc.TaskGroup) -> None:
+    def __init__(self, rng: random.Random, background: anyio.abc.TaskGroup) -> None:
         self.faults = LogFaults()
         self.num_calls = 0
-        self._source = source
+        self._rng = rng
         self._background = background
         self._partitions: dict[Partition, _PartitionState] = {}
 
     def state(self, partition: Partition) -> _PartitionState:
-        """Return a partition, which comes into being on its first use."""
+        """Return the state of a partition, which is created on its first use."""
         return self._partitions.setdefault(partition, _PartitionState())
 
     def apply_retention(self, partition: Partition) -> None:
-        """Drop all records that are not the newest of their key, as retention does."""
+        """Discard all records that are not the newest of their key, as retention does.
+
+        Reads from the offsets of the present records return `RecordsGone` from then on.
+        """
         state = self.state(partition)
         state.first_kept = len(state.records)
 
     def newest_value(self, partition: Partition, key: str) -> bytes | None:
-        """Return the newest value of a key, for checkers."""
+        """Return the newest value of a key, or None if it has none, for checkers."""
         record = self.state(partition).newest.get(key)
         return None if record is None else record.value
 
@@ -111,7 +117,7 @@
         fence: Fence | None,
         expected_end: int | None,
     ) -> AppendOutcome:
-        """Carry out an append."""
+        """Apply an append at once, without the delay and the faults of a call."""
         state = self.state(partition)
         if fence is not None:
             refusal = self._check_fence(state, fence)
@@ -129,7 +135,7 @@
                 state.newest.pop(record.key, None)
         answer = Appended(offset, len(state.records))
         if fence is not None:
-            self._remember(state, fence, answer)
+            self._record_answer(state, fence, answer)
         state.changed.set()
         state.changed = anyio.Event()
         return answer
@@ -146,20 +152,20 @@
             return OutOfSequence(producer.last_sequence + 1)
         return None
 
-    def _remember(self, state: _PartitionState, fence: Fence, answer: Appended) -> None:
+    def _record_answer(self, state: _PartitionState, fence: Fence, answer: Appended) -> None:
         producer = state.producers.get(fence.producer)
         if producer is None or fence.epoch > producer.epoch:
             producer = state.producers[fence.producer] = _Producer(fence.epoch)
         producer.last_sequence = fence.sequence
         producer.answers[fence.sequence] = answer
-        while len(producer.answers) > NUM_REMEMBERED_ANSWERS:
+        while len(producer.answers) > NUM_KEPT_ANSWERS:
             del producer.answers[min(producer.answers)]
 
-    async def pass_link(self, node: str, step: str) -> None:
-        """Take the time of a call to or from the store.
+    async def traverse_link(self, node: str, step: str) -> None:
+        """Wait for one direction of a call between a node and the store.
 
         Raises:
-            LogUnavailableError: the store is not there for this node.
+            LogUnavailableError: the store is unavailable to this node.
         """
         self.num_calls += 1
         if node in self.faults.partitioned_nodes or (self.faults.is_down and self.faults.is_silent):
@@ -170,8 +176,8 @@
             raise LogUnavailableError(step, "store", "down")
 
     def draw(self, share: float) -> bool:
-        """Return whether a fault that hits ``share`` of the calls hits this one."""
-        return share > 0 and self._source.random() < share
+        """Return whether a fault that occurs in a ``share`` of the calls occurs in this one."""
+        return share > 0 and self._rng.random() < share
 
     def append_later(
         self,
@@ -180,8 +186,8 @@
         fence: Fence | None,
         expected_end: int | None,
     ) -> None:
-        """Carry out an append seconds from now, if its condition holds then."""
-        delay = self._source.uniform(*self.faults.late_seconds)
+        """Apply an append after a delay, if its condition holds then."""
+        delay = self._rng.uniform(*self.faults.late_seconds)
 
         async def run() -> None:
             await anyio.sleep(delay)
@@ -191,7 +197,7 @@
 
 
 class LogClient(SharedLog):
-    """One node's way to the store."""
+    """Client of the store for one node."""
 
     def __init__(self, store: LogStore, node: str) -> None:
         super().__init__()
@@ -205,11 +211,11 @@
         fence: Fence | None = None,
         expected_end: int | None = None,
     ) -> AppendOutcome:
-        """Append all records or none."""
+        """Append all records or none; see `SharedLog.append`."""
         store = self._store
         is_silent = self._node in store.faults.partitioned_nodes or store.faults.is_silent
         try:
-            await store.pass_link(self._node, "append")
+            await store.traverse_link(self._node, "append")
         except LogUnavailableError as error:
             return OutcomeOpen(str(error)) if is_silent else NothingDone(str(error))
         if store.draw(store.faults.late_appends):
@@ -222,7 +228,7 @@
             await anyio.sleep(CALL_TIMEOUT_SECONDS)
             return OutcomeOpen("answer lost")
         try:
-            await store.pass_link(self._node, "append")
+            await store.traverse_link(self._node, "append")
         except LogUnavailableError as error:
             return OutcomeOpen(str(error))
         return outcome
@@ -230,31 +236,39 @@
     async def read(
         self, partition: Partition, start: int, wait_seconds: float, max_bytes: int | None = None
     ) -> RecordsRead | RecordsGone:
-        """Read records from an offset."""
-        await self._store.pass_link(self._node, "read")
+        """Read records from an offset on; see `SharedLog.read`.
+
+        Raises:
+            LogUnavailableError: the store is unavailable to this node.
+        """
+        await self._store.traverse_link(self._node, "read")
         state = self._store.state(partition)
         if start >= len(state.records):
             with anyio.move_on_after(wait_seconds):
                 while start >= len(state.records):
                     await state.changed.wait()
-        await self._store.pass_link(self._node, "read")
+        await self._store.traverse_link(self._node, "read")
         if start < state.first_kept:
             return RecordsGone(state.first_kept)
-        return RecordsRead(_within(state.records[start:], max_bytes), len(state.records))
+        return RecordsRead(_limit_size(state.records[start:], max_bytes), len(state.records))
 
     async def newest(self, partition: Partition, after: str | None) -> NewestPage:
-        """Read a page of the newest records by key."""
-        await self._store.pass_link(self._node, "newest")
+        """Read a page of the newest records by key; see `SharedLog.newest`.
+
+        Raises:
+            LogUnavailableError: the store is unavailable to this node.
+        """
+        await self._store.traverse_link(self._node, "newest")
         state = self._store.state(partition)
         keys = sorted(key for key in state.newest if after is None or key > after)
         page = tuple(state.newest[key] for key in keys[:PAGE_SIZE])
         has_more = len(keys) > PAGE_SIZE
-        await self._store.pass_link(self._node, "newest")
+        await self._store.traverse_link(self._node, "newest")
         return NewestPage(page, page[-1].key if has_more else None, len(state.records))
 
 
-def _within(records: list[StoredRecord], max_bytes: int | None) -> tuple[StoredRecord, ...]:
-    """Return the first records up to a size, at least one."""
+def _limit_size(records: list[StoredRecord], max_bytes: int | None) -> tuple[StoredRecord, ...]:
+    """Return the first records that fit into ``max_bytes``, but at least one, or all if it is None."""
     if max_bytes is None:
         return tuple(records)
     num_bytes = 0
