--- a/src/worksramp_emulator/engine.py
+++ b/src/worksramp_emulator/engine.py
@@ -1,7 +1,7 @@
-"""Emulated model engine: continuous batching, priorities, resume, cancel, lagged reports, weight loads.
+"""Emulated model engine: continuous batching, priorities, resume, cancel, delayed reports, weight loads.
 
-Step times are not stated by the users. Assumed here: a step costs a base time and a little for each
-running sequence, so that throughput grows with the batch while each stream slows down.
+The users do not state step times. The engine assumes that a decode step takes a base time plus a short time
+for each running sequence, so that throughput grows with the batch while each stream slows down.
 """
 
 import heapq
@@ -30,11 +30,15 @@
     """Speed and size of an engine.
 
     Attributes:
-        steps_per_round: decode steps between two scheduling decisions; also tokens a chunk.
+        max_num_seqs: maximum number of sequences that are decoded together.
+        step_base_seconds: time of a decode step, without the part for each sequence.
+        step_per_sequence_seconds: additional time of a decode step for each running sequence.
+        steps_per_round: decode steps between two scheduling decisions, and maximum tokens per chunk.
         prefill_seconds: time for a prompt whose prefix is not cached.
+        max_cached_prefixes: number of prompt prefixes in the cache, which evicts the least recently used.
         load_seconds: time to load weights once they are downloaded.
-        report_lag_seconds: age that load reports may have.
-        max_queued: requests waiting beyond the running ones before new ones are refused.
+        report_lag_seconds: age at which a load report is renewed.
+        max_queued: number of waiting requests, beside the running ones, from which new requests are refused.
     """
 
     max_num_seqs: int = 16
@@ -50,7 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRun:
-    """Truth about who produced what: tokens ``start`` to ``end`` of a request by this version."""
+    """Record of the weight version that generated tokens ``start`` (inclusive) to ``end`` (exclusive).
+
+    Checkers compare it with the versions that clients were given.
+    """
 
     request_id: str
     prompt: str
@@ -63,7 +70,12 @@
 
 @dataclass(slots=True)
 class _Sequence:
-    """One completion under way."""
+    """A completion in progress.
+
+    Attributes:
+        length: number of tokens of the complete text.
+        position: number of tokens generated, here or before the request was resumed.
+    """
 
     request: GenerateRequest
     length: int
@@ -75,7 +87,7 @@
 
 @dataclass(slots=True)
 class EngineStatistics:
-    """Counts for experiments."""
+    """Counters for experiments, and arrival times of requests for checkers."""
 
     num_accepted: int = 0
     num_prefix_hits: int = 0
@@ -85,7 +97,13 @@
 
 
 class EngineCore:
-    """One engine, without any protocol in front of it."""
+    """One engine, without a network protocol.
+
+    Attributes:
+        fail_next_load: whether the next load ends without the new weights.
+        are_reports_lost: whether calls for the load report fail.
+        highest_epoch: highest epoch of an owner whose load order was accepted.
+    """
 
     def __init__(self, engine_id: str, profile: EngineProfile, weight_version: int = 1) -> None:
         self.engine_id = engine_id
@@ -102,7 +120,7 @@
         self._waiting: list[tuple[int, int, _Sequence]] = []
         self._running: list[_Sequence] = []
         self._arrivals = itertools.count()
-        self._work = anyio.Event()
+        self._sequence_added = anyio.Event()
         self._prefixes: OrderedDict[str, None] = OrderedDict()
         self._report: WorkerReport | None = None
         self._reported_at = -math.inf
@@ -118,15 +136,22 @@
                     continue
                 self._admit()
                 if not self._running:
-                    await self._work.wait()
+                    await self._sequence_added.wait()
                     continue
-                await self._round()
+                await self._run_round()
 
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[GenerationChunk, None]:
-        """Stream a completion; closing the stream cancels it."""
+        """Stream a completion; closing the stream cancels it.
+
+        A request with ``prefix_tokens`` resumes after them.
+
+        Raises:
+            NotStartedError: the engine is down or draining, or its queue is full.
+            InterruptedStepError: the engine crashed during the completion.
+        """
         await self.faults.before("engine.generate", self.engine_id)
         self.statistics.arrived_at.append(anyio.current_time())
-        self._refuse_if_unable()
+        self._check_admission()
         sequence, receiver = self._enqueue(request)
         try:
             async with receiver:
@@ -140,35 +165,47 @@
             sequence.is_cancelled = True
 
     async def report(self) -> WorkerReport:
-        """Return the load report, as old as the lag allows."""
+        """Return the load report, which can be up to ``report_lag_seconds`` old.
+
+        Raises:
+            NotStartedError: the engine is down.
+            InterruptedStepError: the report is lost.
+        """
         await self.faults.before("engine.report", self.engine_id)
         if self.are_reports_lost:
             raise InterruptedStepError("engine.report", self.engine_id, "report lost")
         now = anyio.current_time()
         if self._report is None or now - self._reported_at >= self.profile.report_lag_seconds:
-            self._report = self._report_now()
+            self._report = self._make_report()
             self._reported_at = now
         self.faults.after("engine.report", self.engine_id)
         return msgspec.structs.replace(self._report, age_seconds=now - self._reported_at)
 
     async def order_load(self, order: LoadOrder) -> WorkerReport:
-        """Begin to load a version, unless the order comes from an owner that has been replaced."""
+        """Start to load a weight version that is newer than the current one, and return a report.
+
+        Raises:
+            NotStartedError: the engine is down, or the order is from an owner that has been replaced.
+            InterruptedStepError: the order was applied, but the reply is lost.
+        """
         await self.faults.before("engine.order_load", self.engine_id)
         if order.epoch < self.highest_epoch:
-            raise NotStartedError("engine.order_load", self.engine_id, f"epoch {order.epoch} is over", 0.0)
+            raise NotStartedError(
+                "engine.order_load", self.engine_id, f"epoch {order.epoch} is outdated", 0.0
+            )
         self.highest_epoch = order.epoch
         if not self.is_loading and order.weight_version > self.weight_version and self._group is not None:
             self.is_loading = True
             self._group.start_soon(self._load, order.weight_version)
         self.faults.after("engine.order_load", self.engine_id)
-        return self._report_now()
+        return self._make_report()
 
     def leave(self) -> None:
-        """Refuse new work from now on; what runs goes on."""
+        """Start to drain: refuse new requests, and complete those in the queue and in the batch."""
         self.is_leaving = True
 
     def crash(self) -> None:
-        """Lose everything in flight and refuse connections until `restart`."""
+        """Abort all requests, clear the prefix cache and refuse connections until `restart`."""
         self.faults.is_down = True
         for sequence in [*self._running, *(item[2] for item in self._waiting)]:
             sequence.sender.close()
@@ -177,16 +214,16 @@
         self._prefixes.clear()
 
     def restart(self, weight_version: int) -> None:
-        """Come back with empty caches."""
+        """Accept connections again, with the given weights and an empty prefix cache."""
         self.weight_version = weight_version
         self.is_loading = False
         self._report = None
         self.faults.is_down = False
 
-    def _refuse_if_unable(self) -> None:
+    def _check_admission(self) -> None:
         if self.is_leaving:
             raise NotStartedError(
-                "engine.generate", self.engine_id, "leaving", REFUSAL_RETRY_SECONDS, is_leaving=True
+                "engine.generate", self.engine_id, "draining", REFUSAL_RETRY_SECONDS, is_leaving=True
             )
         if len(self._waiting) >= self.profile.max_queued:
             raise NotStartedError("engine.generate", self.engine_id, "queue is full", REFUSAL_RETRY_SECONDS)
@@ -199,18 +236,18 @@
         sequence = _Sequence(request, length, len(request.prefix_tokens), sender)
         heapq.heappush(self._waiting, (request.priority, next(self._arrivals), sequence))
         self.statistics.num_accepted += 1
-        self._work.set()
-        self._work = anyio.Event()
+        self._sequence_added.set()
+        self._sequence_added = anyio.Event()
         return sequence, receiver
 
     def _admit(self) -> None:
-        """Let waiting sequences run, the most urgent first."""
+        """Move waiting sequences to the batch, lowest ``priority`` first, then in order of arrival."""
         while self._waiting and len(self._running) < self.profile.max_num_seqs:
             sequence = heapq.heappop(self._waiting)[2]
             if not sequence.is_cancelled:
                 self._running.append(sequence)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         version = self.weight_version
         step = self.profile.step_base_seconds + self.profile.step_per_sequence_seconds * len(self._running)
         seconds = step * self.profile.steps_per_round + self._prefill_seconds()
@@ -273,7 +310,7 @@
             self.weight_version = max(self.weight_version, weight_version)
         self.is_loading = False
 
-    def _report_now(self) -> WorkerReport:
+    def _make_report(self) -> WorkerReport:
         return WorkerReport(
             worker_id=self.engine_id,
             is_leaving=self.is_leaving,
