--- a/src/worksramp_emulator/platform.py
+++ b/src/worksramp_emulator/platform.py
@@ -27,7 +27,7 @@
 
 
 class LogCore(LogClient):
-    """Append-only streams in memory."""
+    """Emulated log: append-only streams in memory."""
 
     def __init__(self) -> None:
         self.streams: dict[str, list[bytes]] = {}
@@ -51,17 +51,21 @@
         while len(self.streams.get(stream, [])) <= start and anyio.current_time() < deadline:
             with anyio.move_on_at(deadline):
                 await self._appended.wait()
-            # A log that went down in the meantime answers nothing more.
+            # The log may have become unavailable during the wait.
             await self.faults.before("log.read", "log")
         records = self.streams.get(stream, [])
         return LogPage(start, tuple(records[start : start + max_records]), len(records))
 
 
 class WeightStoreCore(WeightStoreClient):
-    """Newest weight version of each model, and a rate limit on reads.
+    """Emulated weight store: the newest version of each model, with a rate limit on reads.
 
     Args:
-        max_reads_per_second: reads beyond it wait.
+        max_reads_per_second: rate limit; reads above it are delayed.
+
+    Attributes:
+        newest: newest version of each model.
+        published_at: time at which a version was published, by model and version.
     """
 
     def __init__(self, max_reads_per_second: float = 50.0) -> None:
@@ -70,29 +74,33 @@
         self.num_reads = 0
         self.faults = Faults()
         self._interval_seconds = 1.0 / max_reads_per_second
-        self._free_at = -math.inf
+        self._next_read_at = -math.inf
 
     async def newest_version(self, model: str) -> int:
         """See `WeightStoreClient.newest_version`."""
         await self.faults.before("weights.newest", "weight-store")
         self.num_reads += 1
         now = anyio.current_time()
-        start = max(now, self._free_at)
-        self._free_at = start + self._interval_seconds
+        start = max(now, self._next_read_at)
+        self._next_read_at = start + self._interval_seconds
         if start > now:
             await anyio.sleep(start - now)
         self.faults.after("weights.newest", "weight-store")
         return self.newest.get(model, 0)
 
     def publish(self, model: str, weight_version: int) -> None:
-        """Publish a version, as a trainer does."""
+        """Publish a weight version, as a trainer does; versions that are not newer are ignored."""
         if weight_version > self.newest.get(model, 0):
             self.newest[model] = weight_version
             self.published_at[(model, weight_version)] = anyio.current_time()
 
 
 class MachineListCore(MachineListClient):
-    """The machine list as it was ``lag_seconds`` ago."""
+    """Emulated machine list, whose changes become visible after a lag.
+
+    Args:
+        lag_seconds: time until a change is visible.
+    """
 
     def __init__(self, lag_seconds: float = 2.0) -> None:
         self.lag_seconds = lag_seconds
@@ -100,25 +108,29 @@
         self._history: list[tuple[float, tuple[Machine, ...]]] = []
 
     def set_machines(self, machines: tuple[Machine, ...]) -> None:
-        """Change the truth; the list follows after its lag. The first list shows at once."""
+        """Set the list, which becomes visible after the lag; the first list is visible at once."""
         at = anyio.current_time() if self._history else -math.inf
         self._history.append((at, machines))
 
     def truth(self) -> tuple[Machine, ...]:
-        """Return the list without its lag."""
+        """Return the list that was set last, even if it is not visible yet."""
         return self._history[-1][1] if self._history else ()
 
     async def machines(self) -> tuple[Machine, ...]:
         """See `MachineListClient.machines`."""
         await self.faults.before("machines.list", "machine-list")
-        seen_until = anyio.current_time() - self.lag_seconds
-        visible = [machines for at, machines in self._history if at <= seen_until]
+        visible_until = anyio.current_time() - self.lag_seconds
+        visible = [machines for at, machines in self._history if at <= visible_until]
         self.faults.after("machines.list", "machine-list")
         return visible[-1] if visible else ()
 
 
 class ScorerCore(ScorerClient):
-    """A verifiable score: a digest of the completion, so that anyone can compute it again."""
+    """Emulated scorer, whose score is a digest of prompt and completion, so that checkers can recompute it.
+
+    Args:
+        seconds: service time of a scoring call.
+    """
 
     def __init__(self, seconds: float = 0.005) -> None:
         self.faults = Faults()
@@ -133,14 +145,19 @@
 
 
 def expected_reward(prompt: str, completion: str) -> float:
-    """Return the score of a completion."""
+    """Return the score that `ScorerCore` gives to a completion, from 0 to below 1."""
     digest = xxhash.xxh64_intdigest(f"{prompt}|{completion}".encode())
     return (digest % REWARD_MODULUS) / REWARD_MODULUS
 
 
 @dataclass(slots=True)
 class ApplicationCore:
-    """One application worker; it counts how often it ran each request."""
+    """Emulated application worker.
+
+    Attributes:
+        runs: number of runs of each request, by request id.
+        arrived_at: arrival times of requests, for checkers.
+    """
 
     worker_id: str
     service_seconds: float = 0.02
@@ -155,12 +172,17 @@
     _reported_at: float = -math.inf
 
     async def call(self, request: ApplicationRequest) -> ApplicationReply:
-        """Run a request and echo it."""
+        """Run a request and return its body as JSON ``{"echo": ...}``.
+
+        Raises:
+            NotStartedError: the worker is down or draining.
+            InterruptedStepError: the request ran, but the reply is lost.
+        """
         await self.faults.before("application.call", self.worker_id)
         self.arrived_at.append(anyio.current_time())
         if self.is_leaving:
             raise NotStartedError(
-                "application.call", self.worker_id, "leaving", REFUSAL_RETRY_SECONDS, is_leaving=True
+                "application.call", self.worker_id, "draining", REFUSAL_RETRY_SECONDS, is_leaving=True
             )
         self.runs[request.request_id] += 1
         self.num_running += 1
@@ -172,7 +194,12 @@
         return ApplicationReply(200, b'{"echo":' + (request.body or b"null") + b"}")
 
     async def report(self) -> WorkerReport:
-        """Return the load report, as old as the lag allows."""
+        """Return the load report, which can be up to ``report_lag_seconds`` old.
+
+        Raises:
+            NotStartedError: the worker is down.
+            InterruptedStepError: the reply is lost.
+        """
         await self.faults.before("application.report", self.worker_id)
         now = anyio.current_time()
         if self._report is None or now - self._reported_at >= self.report_lag_seconds:
