--- a/src/worksramp_emulator/application.py
+++ b/src/worksramp_emulator/application.py
@@ -1,4 +1,4 @@
-"""Stand-in for workers of an application: live requests, some of which end the worker that runs them."""
+"""Emulated workers of an application: they run live requests, some of which crash the worker."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -10,15 +10,16 @@
 from worksramp.routing.worker_port import WorkerAnswer, WorkerAnswerBrokenError, WorkerRequest
 from worksramp.routing.workers import WorkerEntry
 
-#: Work of an ordinary request, as the prepared machines' application workers need for theirs.
+#: Service time of an ordinary request, that of the application workers on the prepared machines.
 SERVICE_S = 0.0375
-#: From the begin of a request that ends its worker to that worker's end, as seen on the prepared machines.
+#: Time from the start of a crashing request to the crash of its worker, as observed on the prepared machines.
 CRASH_S = 0.08
+#: Interval at which a run checks whether its worker has ended or its connection is broken.
 TICK_S = 0.0025
 
 
 class ApplicationWorker(Protocol):
-    """What a worker of an application is here."""
+    """Attributes of an emulated worker that the runs of live requests use."""
 
     entry: WorkerEntry
     is_gone: bool
@@ -26,8 +27,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServedRun:
-    """A live request as a worker began to run it."""
+class LiveRun:
+    """A live request that a worker started to run.
+
+    Attributes:
+        node: name of the node that sent the request.
+    """
 
     at: float
     worker_id: str
@@ -36,11 +41,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CrashSeen:
-    """A worker's end.
+class WorkerCrash:
+    """The crash of a worker.
 
     Attributes:
-        target: of the request that ended it, empty when none did.
+        target: target of the request that crashed the worker, empty if no request did.
     """
 
     at: float
@@ -50,43 +55,47 @@
 
 @dataclass(slots=True)
 class ApplicationRecord:
-    """What all workers of the application saw.
+    """Faults of the application's workers, and a record of their runs and crashes.
 
     Attributes:
-        crashing_targets: requests that end each worker that begins to run them.
-        num_resets: times that the connections of all workers broke.
+        crashing_targets: targets of requests that crash each worker that runs them.
+        num_resets: how often the connections to all workers were broken so far.
     """
 
     crashing_targets: set[bytes] = field(default_factory=set)
-    runs: list[ServedRun] = field(default_factory=list)
-    crashes: list[CrashSeen] = field(default_factory=list)
+    runs: list[LiveRun] = field(default_factory=list)
+    crashes: list[WorkerCrash] = field(default_factory=list)
     num_resets: int = 0
 
     def crash(self, worker: ApplicationWorker, target: bytes = b"") -> None:
-        """End a worker; all that runs there breaks off."""
+        """Crash a worker, which breaks the connections of its runs; does nothing if it has ended already."""
         if worker.is_gone:
             return
         worker.is_gone = True
-        self.crashes.append(CrashSeen(anyio.current_time(), worker.entry.worker_id, target))
+        self.crashes.append(WorkerCrash(anyio.current_time(), worker.entry.worker_id, target))
 
 
 @asynccontextmanager
-async def served(
+async def serve_live_request(
     record: ApplicationRecord, worker: ApplicationWorker, node: str, request: WorkerRequest
 ) -> AsyncIterator[WorkerAnswer]:
-    """Run a live request at a worker, or end the worker with it."""
+    """Run a live request at a worker, or crash the worker if the request is a crashing one.
+
+    Raises:
+        WorkerAnswerBrokenError: the worker ended or the connections broke during the run.
+    """
     worker_id = worker.entry.worker_id
-    record.runs.append(ServedRun(anyio.current_time(), worker_id, node, request.target))
-    is_killing = request.target in record.crashing_targets
+    record.runs.append(LiveRun(anyio.current_time(), worker_id, node, request.target))
+    is_crashing = request.target in record.crashing_targets
     num_resets = record.num_resets
     worker.num_running += 1
     try:
-        ends_at = anyio.current_time() + (CRASH_S if is_killing else SERVICE_S)
+        ends_at = anyio.current_time() + (CRASH_S if is_crashing else SERVICE_S)
         while anyio.current_time() < ends_at and not worker.is_gone:
             await anyio.sleep(TICK_S)
             if record.num_resets != num_resets:
                 raise WorkerAnswerBrokenError(worker_id)
-        if is_killing:
+        if is_crashing:
             record.crash(worker, request.target)
         if worker.is_gone:
             raise WorkerAnswerBrokenError(worker_id)
--- a/src/worksramp_emulator/batch_fleet.py
+++ b/src/worksramp_emulator/batch_fleet.py
@@ -28,7 +28,7 @@
     WorkerUnreachableError,
 )
 from worksramp.routing.workers import WorkerEntry
-from worksramp_emulator.application import ApplicationRecord, served
+from worksramp_emulator.application import ApplicationRecord, serve_live_request
 
 VERSION_FIELD = "weight-version"
 #: Service time of a scoring call.
@@ -212,7 +212,7 @@
             yield self._answer(503, target, request, is_not_run=True)
             return
         if target.is_application:
-            async with served(self._fleet.application, target, self._node, request) as answer:
+            async with serve_live_request(self._fleet.application, target, self._node, request) as answer:
                 yield answer
             return
         if target.is_scorer:
