--- a/src/worksramp_emulator/cli.py
+++ b/src/worksramp_emulator/cli.py
@@ -14,11 +14,11 @@
 from worksramp_emulator.experiments import plot, run_experiments, write_csv
 from worksramp_emulator.hollow import read_addresses, run_hollow_engines, run_hollow_nodes
 from worksramp_emulator.http_apps import (
-    application_application,
-    engine_application,
-    log_application,
-    platform_application,
-    serve_application,
+    application_worker_app,
+    engine_app,
+    log_app,
+    platform_app,
+    serve_app,
 )
 from worksramp_emulator.platform import (
     ApplicationCore,
@@ -69,7 +69,7 @@
     def application(self, listen: str, worker_id: str, service_seconds: float = 0.02) -> None:
         """Serve an application worker."""
         core = ApplicationCore(worker_id, service_seconds)
-        anyio.run(serve_application, application_application(core), listen)
+        anyio.run(serve_app, application_worker_app(core), listen)
 
     def trainer(
         self,
@@ -141,22 +141,22 @@
 
 
 async def _serve_log(listen: str) -> None:
-    await serve_application(log_application(LogCore()), listen)
+    await serve_app(log_app(LogCore()), listen)
 
 
 async def _serve_platform(listen: str, machines_file: str, lag_seconds: float) -> None:
     machine_list = MachineListCore(lag_seconds)
     raw = Path(machines_file).read_bytes()
     machine_list.set_machines(msgspec.json.decode(raw, type=tuple[Machine, ...]))
-    application = platform_application(WeightStoreCore(), machine_list, ScorerCore())
-    await serve_application(application, listen)
+    application = platform_app(WeightStoreCore(), machine_list, ScorerCore())
+    await serve_app(application, listen)
 
 
 async def _serve_engine(listen: str, engine_id: str, profile: EngineProfile) -> None:
     core = EngineCore(engine_id, profile)
     async with anyio.create_task_group() as group:
         group.start_soon(core.run)
-        await serve_application(engine_application(core), listen)
+        await serve_app(engine_app(core), listen)
 
 
 def main() -> None:
--- a/src/worksramp_emulator/hollow.py
+++ b/src/worksramp_emulator/hollow.py
@@ -18,7 +18,7 @@
 from worksramp.settings import NodeSettings
 from worksramp.transport.tcp import TcpTransport
 from worksramp_emulator.engine import EngineCore, EngineProfile
-from worksramp_emulator.http_apps import engine_application, serve_application
+from worksramp_emulator.http_apps import engine_app, serve_app
 
 START_SPACING_SECONDS = 0.01
 
@@ -63,7 +63,7 @@
         for index, address in enumerate(addresses):
             core = EngineCore(f"engine-{index}", profile)
             group.start_soon(core.run)
-            group.start_soon(serve_application, engine_application(core), address)
+            group.start_soon(serve_app, engine_app(core), address)
 
 
 def read_addresses(file: str) -> tuple[str, ...]:
--- a/src/worksramp_emulator/http_apps.py
+++ b/src/worksramp_emulator/http_apps.py
@@ -1,4 +1,4 @@
-"""HTTP in front of the stand-ins, each behind the protocol that worksramp's clients speak."""
+"""HTTP servers for the emulated services, with the protocols that worksramp's clients use."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import aclosing
@@ -36,7 +36,7 @@
 
 
 class FaultOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of ``POST /faults``; fields left out stay as they are."""
+    """Body of ``POST /faults``; faults whose field is missing do not change."""
 
     is_down: bool | None = None
     is_frozen: bool | None = None
@@ -51,26 +51,29 @@
     completion: str
 
 
-def _json(content: object, status: int = 200) -> Response:
+def _json_response(content: object, status: int = 200) -> Response:
     return Response(msgspec.json.encode(content), status, media_type="application/json")
 
 
-def _guarded(handler: Handler) -> Handler:
-    """Answer a refusal as marked, and drop the connection where a reply is lost."""
+def _with_error_responses(handler: Handler) -> Handler:
+    """Return a handler that turns the errors of another one into error responses.
+
+    A refusal is marked as not started; a lost reply and an invalid body have codes of their own.
+    """
 
     async def answer(request: Request) -> Response:
         try:
             return await handler(request)
         except NotStartedError as error:
             body = RefusalBody(NOT_STARTED_CODE, error.reason, error.is_leaving)
-            response = _json(body, SERVICE_UNAVAILABLE)
+            response = _json_response(body, SERVICE_UNAVAILABLE)
             if error.retry_after_seconds is not None:
                 response.headers["retry-after"] = f"{error.retry_after_seconds:.0f}"
             return response
         except InterruptedStepError as error:
-            return _json(RefusalBody("lost", error.reason), SERVICE_UNAVAILABLE)
+            return _json_response(RefusalBody("lost", error.reason), SERVICE_UNAVAILABLE)
         except msgspec.DecodeError as error:
-            return _json(RefusalBody("invalid", str(error)), BAD_REQUEST)
+            return _json_response(RefusalBody("invalid", str(error)), BAD_REQUEST)
 
     return answer
 
@@ -82,42 +85,42 @@
             value = getattr(order, name)
             if value is not None:
                 setattr(faults, name, value)
-        return _json({"outcome": "accepted"})
+        return _json_response({"outcome": "accepted"})
 
-    return Route("/faults", _guarded(set_faults), methods=["POST"])
+    return Route("/faults", _with_error_responses(set_faults), methods=["POST"])
 
 
-def log_application(core: LogCore) -> Starlette:
-    """Return the log service."""
+def log_app(core: LogCore) -> Starlette:
+    """Return the HTTP application of the log."""
 
     async def append(request: Request) -> Response:
         offset = await core.append(request.path_params["stream"], await request.body())
-        return _json(AppendReply(offset))
+        return _json_response(AppendReply(offset))
 
     async def read(request: Request) -> Response:
         query = request.query_params
         page = await core.read(
             request.path_params["stream"], int(query["start"]), int(query["max"]), float(query["wait"])
         )
-        return _json(page)
+        return _json_response(page)
 
     async def size(request: Request) -> Response:
         num_bytes = sum(len(record) for records in core.streams.values() for record in records)
-        return _json({"num_bytes": num_bytes})
+        return _json_response({"num_bytes": num_bytes})
 
     path = "/v1/streams/{stream}/records"
     return Starlette(
         routes=[
             Route("/size", size, methods=["GET"]),
-            Route(path, _guarded(append), methods=["POST"]),
-            Route(path, _guarded(read), methods=["GET"]),
+            Route(path, _with_error_responses(append), methods=["POST"]),
+            Route(path, _with_error_responses(read), methods=["GET"]),
             _fault_route(core.faults),
         ]
     )
 
 
-def engine_application(core: EngineCore) -> Starlette:
-    """Return an engine."""
+def engine_app(core: EngineCore) -> Starlette:
+    """Return the HTTP application of an engine."""
 
     async def complete(request: Request) -> Response:
         generate = msgspec.json.decode(await request.body(), type=GenerateRequest)
@@ -135,23 +138,25 @@
         return EventSourceResponse(events(), ping=3600)
 
     async def load(request: Request) -> Response:
-        return _json(await core.report())
+        return _json_response(await core.report())
 
     async def order(request: Request) -> Response:
-        return _json(await core.order_load(msgspec.json.decode(await request.body(), type=LoadOrder)))
+        return _json_response(
+            await core.order_load(msgspec.json.decode(await request.body(), type=LoadOrder))
+        )
 
     async def leave(request: Request) -> Response:
         core.leave()
-        return _json({"outcome": "accepted"})
+        return _json_response({"outcome": "accepted"})
 
     async def token_runs(request: Request) -> Response:
-        return _json(core.token_runs)
+        return _json_response(core.token_runs)
 
     return Starlette(
         routes=[
-            Route("/v1/completions", _guarded(complete), methods=["POST"]),
-            Route("/v1/load", _guarded(load), methods=["GET"]),
-            Route("/v1/weights", _guarded(order), methods=["POST"]),
+            Route("/v1/completions", _with_error_responses(complete), methods=["POST"]),
+            Route("/v1/load", _with_error_responses(load), methods=["GET"]),
+            Route("/v1/weights", _with_error_responses(order), methods=["POST"]),
             Route("/leave", leave, methods=["POST"]),
             Route("/token_runs", token_runs, methods=["GET"]),
             _fault_route(core.faults),
@@ -159,14 +164,14 @@
     )
 
 
-def application_application(core: ApplicationCore) -> Starlette:
-    """Return an application worker."""
+def application_worker_app(core: ApplicationCore) -> Starlette:
+    """Return the HTTP application of an application worker."""
 
     async def load(request: Request) -> Response:
-        return _json(await core.report())
+        return _json_response(await core.report())
 
     async def runs(request: Request) -> Response:
-        return _json(dict(core.runs))
+        return _json_response(dict(core.runs))
 
     async def call(request: Request) -> Response:
         request_id = request.headers.get("x-request-id", "")
@@ -177,29 +182,27 @@
     methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
     return Starlette(
         routes=[
-            Route("/v1/load", _guarded(load), methods=["GET"]),
+            Route("/v1/load", _with_error_responses(load), methods=["GET"]),
             Route("/runs", runs, methods=["GET"]),
             _fault_route(core.faults),
-            Route("/{path:path}", _guarded(call), methods=methods),
+            Route("/{path:path}", _with_error_responses(call), methods=methods),
         ]
     )
 
 
-def platform_application(
-    store: WeightStoreCore, machine_list: MachineListCore, scorer: ScorerCore
-) -> Starlette:
-    """Return weight store, machine list and scoring service on one address."""
+def platform_app(store: WeightStoreCore, machine_list: MachineListCore, scorer: ScorerCore) -> Starlette:
+    """Return the HTTP application of weight store, machine list and scorer, which share one address."""
 
     async def newest(request: Request) -> Response:
-        return _json(VersionReply(await store.newest_version(request.path_params["model"])))
+        return _json_response(VersionReply(await store.newest_version(request.path_params["model"])))
 
     async def publish(request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=VersionReply)
         store.publish(request.path_params["model"], body.weight_version)
-        return _json(body)
+        return _json_response(body)
 
     async def machines(request: Request) -> Response:
-        response = _json(await machine_list.machines())
+        response = _json_response(await machine_list.machines())
         etag = f'"{xxhash.xxh64_hexdigest(bytes(response.body))}"'
         if request.headers.get("if-none-match") == etag:
             return Response(status_code=NOT_MODIFIED)
@@ -208,25 +211,25 @@
 
     async def set_machines(request: Request) -> Response:
         machine_list.set_machines(msgspec.json.decode(await request.body(), type=tuple[Machine, ...]))
-        return _json({"outcome": "accepted"})
+        return _json_response({"outcome": "accepted"})
 
     async def score(request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=ScoreBody)
-        return _json(ScoreReply(await scorer.score("scorer", body.prompt, body.completion)))
+        return _json_response(ScoreReply(await scorer.score("scorer", body.prompt, body.completion)))
 
     return Starlette(
         routes=[
-            Route("/v1/models/{model}/newest", _guarded(newest), methods=["GET"]),
-            Route("/v1/models/{model}/newest", _guarded(publish), methods=["PUT"]),
-            Route("/v1/machines", _guarded(machines), methods=["GET"]),
-            Route("/v1/machines", _guarded(set_machines), methods=["PUT"]),
-            Route("/v1/score", _guarded(score), methods=["POST"]),
+            Route("/v1/models/{model}/newest", _with_error_responses(newest), methods=["GET"]),
+            Route("/v1/models/{model}/newest", _with_error_responses(publish), methods=["PUT"]),
+            Route("/v1/machines", _with_error_responses(machines), methods=["GET"]),
+            Route("/v1/machines", _with_error_responses(set_machines), methods=["PUT"]),
+            Route("/v1/score", _with_error_responses(score), methods=["POST"]),
         ]
     )
 
 
-async def serve_application(application: Starlette, listen: str) -> None:
-    """Serve until cancelled."""
+async def serve_app(application: Starlette, listen: str) -> None:
+    """Serve an HTTP application on the address ``listen`` until cancelled."""
     config = Config()
     config.bind = [listen]
     config.accesslog = None
