--- a/src/worksramp_emulator/baselines.py
+++ b/src/worksramp_emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Policies that worksramp is measured against: a trainer that drives engines directly."""
+"""Baseline policies of the experiments, in which a trainer calls the engines without worksramp."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -14,7 +14,7 @@
     POLL_SECONDS,
     ROLLOUT_PRIORITY,
     ExperimentSpec,
-    RunFigures,
+    RunMeasurements,
     engine_profile,
     live_traffic,
     sample_prompt,
@@ -25,7 +25,15 @@
 
 
 class Baseline:
-    """A trainer that drives engines directly, for policies that worksramp is measured against."""
+    """Engines, live traffic and the trainer of a baseline run, for a policy to use.
+
+    Attributes:
+        version: newest weight version of the trainer.
+        idle_seconds: time that the trainer waited for samples or for the engines' loads.
+        staleness: number of versions by which each delivered sample was behind the trainer.
+        lengths: number of tokens of each delivered sample.
+        live_seconds: latency of each live request.
+    """
 
     def __init__(self, spec: ExperimentSpec, seed: int, group: anyio.abc.TaskGroup) -> None:
         self.spec = spec
@@ -48,7 +56,12 @@
         self.group.start_soon(live_traffic, self.spec, self.rng, self.ask_live)
 
     async def generate(self, request: GenerateRequest) -> tuple[int, int, bool]:
-        """Generate on the next engine in turn; return length, oldest version, and whether it swapped."""
+        """Generate a completion on the next engine, round robin.
+
+        Returns:
+            Number of tokens, oldest weight version, and whether the completion was aborted. A rollout
+            request is aborted once the engine has loaded other weights.
+        """
         engine = self.engines[self._next_engine % len(self.engines)]
         self._next_engine += 1
         versions: list[int] = []
@@ -62,42 +75,46 @@
         return length, min(versions), False
 
     async def ask_live(self, number: int) -> None:
-        """Ask one live completion."""
+        """Send a live request and record its latency."""
         started_at = anyio.current_time()
         prompt = f"Live question {number % 5}"
         await self.generate(GenerateRequest(f"live-{number}", MODEL, prompt, LIVE_MAX_TOKENS, number))
         self.live_seconds.append(anyio.current_time() - started_at)
 
     def sample_request(self, index: int, attempt: int) -> GenerateRequest:
-        """Return the request of one sample."""
+        """Return the request for generate_sample sample."""
         prompt = sample_prompt(self.spec.group_size, index)
         seed = self.seed * 1_000_003 + index
         request_id = f"sample-{index}-{attempt}"
         return GenerateRequest(request_id, MODEL, prompt, self.spec.max_tokens, seed, ROLLOUT_PRIORITY)
 
-    def take(self, length: int, version: int) -> None:
-        """Note a sample as delivered."""
+    def record_delivery(self, length: int, version: int) -> None:
+        """Record a delivered sample."""
         self.lengths.append(length)
         self.staleness.append(self.version - version)
 
-    async def train_and_load(self, is_waiting: bool) -> None:
-        """Train, publish, and have every engine load the new weights."""
+    async def train_and_load(self, should_wait: bool) -> None:
+        """Train a step and order every engine to load the new weights.
+
+        Args:
+            should_wait: whether the trainer stays idle until all engines have loaded them.
+        """
         await anyio.sleep(self.spec.train_seconds)
         self.version += 1
         for engine in self.engines:
             await engine.order_load(LoadOrder(MODEL, self.version, 1))
-        while is_waiting and any(engine.weight_version < self.version for engine in self.engines):
+        while should_wait and any(engine.weight_version < self.version for engine in self.engines):
             self.idle_seconds += POLL_SECONDS
             await anyio.sleep(POLL_SECONDS)
 
-    def figures(self) -> RunFigures:
-        """Return the figures of the run."""
+    def measurements(self) -> RunMeasurements:
+        """Return the measurements of the run until now."""
         elapsed = anyio.current_time()
         num_planned = self.spec.num_steps * self.spec.samples_per_step
         requests = [self.sample_request(index, 1) for index in range(num_planned)]
         planned = [completion_length(item.prompt, item.seed, item.max_tokens) for item in requests]
         total = self.idle_seconds + self.spec.train_seconds * self.spec.num_steps
-        return RunFigures(
+        return RunMeasurements(
             self.engines,
             self.lengths,
             self.staleness,
@@ -109,24 +126,27 @@
 
 
 async def run_synchronous(baseline: Baseline) -> None:
-    """Generate a step's samples, wait for the last, train, load, and again."""
+    """Generate all samples of a step, train, load the weights everywhere, and go on to the next step."""
     spec = baseline.spec
     for step in range(spec.num_steps):
-        asked_at = anyio.current_time()
+        requested_at = anyio.current_time()
         async with anyio.create_task_group() as group:
 
-            async def one(index: int) -> None:
+            async def generate_sample(index: int) -> None:
                 length, version, _ = await baseline.generate(baseline.sample_request(index, 1))
-                baseline.take(length, version)
+                baseline.record_delivery(length, version)
 
             for index in range(step * spec.samples_per_step, (step + 1) * spec.samples_per_step):
-                group.start_soon(one, index)
-        baseline.idle_seconds += anyio.current_time() - asked_at
-        await baseline.train_and_load(is_waiting=True)
+                group.start_soon(generate_sample, index)
+        baseline.idle_seconds += anyio.current_time() - requested_at
+        await baseline.train_and_load(should_wait=True)
 
 
 async def run_naive(baseline: Baseline) -> None:
-    """Generate all the time; drop what a swap interrupts; take the first finished that are fresh."""
+    """Generate continuously, and train on the first finished samples that are fresh enough.
+
+    A sample whose engine loads other weights meanwhile is discarded and generated again.
+    """
     spec = baseline.spec
     finished: list[tuple[int, int]] = []
     num_started = [0]
@@ -137,48 +157,48 @@
                 await anyio.sleep(POLL_SECONDS)
             index = num_started[0]
             num_started[0] += 1
-            is_cut, attempt = True, 0
-            while is_cut:
+            is_aborted, attempt = True, 0
+            while is_aborted:
                 attempt += 1
-                length, version, is_cut = await baseline.generate(baseline.sample_request(index, attempt))
+                length, version, is_aborted = await baseline.generate(baseline.sample_request(index, attempt))
             finished.append((length, version))
 
     async with anyio.create_task_group() as group:
         for _ in range(2 * spec.samples_per_step):
             group.start_soon(produce)
         for _ in range(spec.num_steps):
-            asked_at = anyio.current_time()
+            requested_at = anyio.current_time()
             while True:
                 finished[:] = [item for item in finished if baseline.version - item[1] <= spec.max_staleness]
                 if len(finished) >= spec.samples_per_step:
                     break
                 await anyio.sleep(POLL_SECONDS)
-            baseline.idle_seconds += anyio.current_time() - asked_at
+            baseline.idle_seconds += anyio.current_time() - requested_at
             for length, version in finished[: spec.samples_per_step]:
-                baseline.take(length, version)
+                baseline.record_delivery(length, version)
             del finished[: spec.samples_per_step]
-            await baseline.train_and_load(is_waiting=False)
+            await baseline.train_and_load(should_wait=False)
         group.cancel_scope.cancel()
 
 
 def run_baseline(
     spec: ExperimentSpec, seed: int, policy: Callable[[Baseline], Awaitable[None]]
-) -> RunFigures:
-    """Run a baseline policy."""
+) -> RunMeasurements:
+    """Run a baseline policy on the virtual clock and return its measurements."""
 
-    async def main() -> RunFigures:
+    async def main() -> RunMeasurements:
         async with anyio.create_task_group() as group:
             baseline = Baseline(spec, seed, group)
             baseline.start()
             await policy(baseline)
-            figures = baseline.figures()
+            measurements = baseline.measurements()
             group.cancel_scope.cancel()
-        return figures
+        return measurements
 
     return run_simulated(main, seed)
 
 
-async def run_nothing(baseline: Baseline) -> None:
-    """Serve live traffic only."""
+async def run_live_only(baseline: Baseline) -> None:
+    """Serve only live traffic, for the time that the training steps record_delivery."""
     baseline.idle_seconds = 1.0
     await anyio.sleep(baseline.spec.num_steps * baseline.spec.train_seconds)
--- a/src/worksramp_emulator/experiment_spec.py
+++ b/src/worksramp_emulator/experiment_spec.py
@@ -1,7 +1,7 @@
-"""What an experiment consists of, and the figures that a run leaves.
+"""Specification of an experiment, and the metrics that are computed from a run.
 
 See Also:
-    docs/EXPERIMENTS.md: what was assumed.
+    docs/EXPERIMENTS.md: assumptions.
 """
 
 import random
@@ -27,13 +27,13 @@
 
 
 class ExperimentSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One deployment under one load.
+    """A deployment and its load.
 
     Attributes:
-        step_base_seconds: decode step; a token here stands for a run of real tokens.
+        step_base_seconds: base time of a decode step; a token here stands for a sequence of real tokens.
         train_seconds: time of a training step.
         live_period_seconds: mean time between live requests; a third of it during the peak.
-        seeds: each policy runs once a seed.
+        seeds: seeds with each of which every policy runs once.
     """
 
     name: str
@@ -53,13 +53,22 @@
 
 
 class ExperimentFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The TOML file of an experiment run."""
+    """Contents of an experiment file, which is TOML."""
 
     experiments: tuple[ExperimentSpec, ...]
 
 
 class PolicyResult(msgspec.Struct, frozen=True):
-    """Figures of one policy in one run; shares are between 0 and 1, times in seconds."""
+    """Metrics of one run of a policy; shares are between 0 and 1, times in seconds.
+
+    Attributes:
+        idle_share: share of the trainer's time that it waited.
+        staleness_mean: mean number of versions by which a delivered sample was behind the trainer.
+        wasted_token_share: share of the rollout tokens that were generated but not delivered.
+        prefix_hit_share: share of the accepted requests whose prompt prefix was cached.
+        engine_utilisation: share of the engines' time that they spent on prefill and decoding.
+        length_bias: mean length of delivered samples, divided by that of the planned samples.
+    """
 
     experiment: str
     policy: str
@@ -77,13 +86,13 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile, 0.0 of no values."""
+    """Return a percentile of values, or 0.0 if there are none; ``share`` is from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def engine_profile(spec: ExperimentSpec) -> EngineProfile:
-    """Return the engines' speed."""
+    """Return the profile of an experiment's engines."""
     return EngineProfile(
         max_num_seqs=spec.max_num_seqs,
         step_base_seconds=spec.step_base_seconds,
@@ -96,8 +105,16 @@
 
 
 @dataclass(slots=True)
-class RunFigures:
-    """What a run leaves for its result."""
+class RunMeasurements:
+    """Measurements of a run, from which its metrics are computed.
+
+    Attributes:
+        delivered_lengths: number of tokens of each delivered sample.
+        staleness: number of versions by which each delivered sample was behind the trainer.
+        idle_share: share of the trainer's time that it waited.
+        live_seconds: latency of each completed live request.
+        planned_lengths: number of tokens of the samples with the lowest indices, as many as the steps need.
+    """
 
     engines: list[EngineCore]
     delivered_lengths: list[int]
@@ -108,7 +125,7 @@
     planned_lengths: list[int] = field(default_factory=list)
 
     def result(self, experiment: str, policy: str, seed: int) -> PolicyResult:
-        """Work the figures out."""
+        """Compute the metrics of the run."""
         num_tokens = sum(engine.statistics.num_tokens for engine in self.engines)
         num_live_tokens = sum(
             run.end - run.start
@@ -140,14 +157,20 @@
 
 
 def sample_prompt(group_size: int, index: int) -> str:
-    """Return the prompt of a sample, as the simulated world has it too."""
+    """Return the prompt of a sample, the same as in the simulated world."""
     return f"Prompt number {(index // group_size) % NUM_PROMPTS} of the job"
 
 
 async def live_traffic(
-    spec: ExperimentSpec, rng: random.Random, ask: Callable[[int], Coroutine[Any, Any, None]]
+    spec: ExperimentSpec, rng: random.Random, send: Callable[[int], Coroutine[Any, Any, None]]
 ) -> None:
-    """Ask live requests for ever: Poisson arrivals, three times as dense in the middle third of the run."""
+    """Send live requests until cancelled, with Poisson arrivals.
+
+    The rate is three times as high in the middle third of the run.
+
+    Args:
+        send: sends the live request with a number, which counts from 0.
+    """
     expected_seconds = spec.num_steps * spec.train_seconds
     number = 0
     async with anyio.create_task_group() as group:
@@ -155,7 +178,7 @@
             is_peak = expected_seconds / 3 < anyio.current_time() < expected_seconds * 2 / 3
             mean = spec.live_period_seconds / (3 if is_peak else 1)
             await anyio.sleep(rng.expovariate(1.0 / mean))
-            group.start_soon(ask, number)
+            group.start_soon(send, number)
             number += 1
 
 
--- a/src/worksramp_emulator/experiments.py
+++ b/src/worksramp_emulator/experiments.py
@@ -1,10 +1,10 @@
-"""Experiments on the virtual clock: trainer idle share and staleness of several policies side by side.
+"""Experiments on the virtual clock that compare trainer idle share and staleness of several policies.
 
-Every policy meets the same engines, the same sample lengths, the same live traffic and the same trainer.
-Lengths are log-normal, since the users tell of a few samples that run far longer than the rest.
+All policies run with the same engines, sample lengths, live traffic and trainer. Lengths are log-normal,
+since the users report that a few samples run far longer than the rest.
 
 See Also:
-    docs/EXPERIMENTS.md: what was assumed, and the results.
+    docs/EXPERIMENTS.md: assumptions and results.
 """
 
 import csv
@@ -25,12 +25,12 @@
 from worksramp.routing import pool
 from worksramp.routing.choice import RouteRequest
 from worksramp.routing.leases import Worker
-from worksramp_emulator.baselines import run_baseline, run_naive, run_nothing, run_synchronous
+from worksramp_emulator.baselines import run_baseline, run_live_only, run_naive, run_synchronous
 from worksramp_emulator.experiment_spec import (
     LIVE_DEADLINE_SECONDS,
     ExperimentSpec,
     PolicyResult,
-    RunFigures,
+    RunMeasurements,
     engine_profile,
     live_traffic,
     sample_prompt,
@@ -44,8 +44,14 @@
 from worksramp_emulator.trainer import TrainerRecord
 
 
-def run_worksramp(spec: ExperimentSpec, seed: int, preference: Preference, is_affine: bool) -> RunFigures:
-    """Run worksramp's own nodes; without affinity, workers are chosen in turn."""
+def run_worksramp(
+    spec: ExperimentSpec, seed: int, preference: Preference, has_affinity: bool
+) -> RunMeasurements:
+    """Run simulated worksramp nodes and return the measurements.
+
+    Args:
+        has_affinity: whether workers are chosen by prompt prefix affinity, or else by least load.
+    """
     world_spec = WorldSpec(
         num_engines=spec.num_engines,
         num_steps=spec.num_steps,
@@ -59,7 +65,7 @@
         network=NetworkProfile(loss_share=0.0, duplication_share=0.0, chunk_trouble_share=0.0),
     )
 
-    async def main() -> RunFigures:
+    async def main() -> RunMeasurements:
         async with anyio.create_task_group() as group:
             world = World(world_spec, seed, group)
             await world.start()
@@ -70,18 +76,20 @@
                 lambda number: world.ask_live(number, LIVE_DEADLINE_SECONDS),
             )
             await world.run_trainer()
-            figures = world_figures(world, world.trainer)
+            measurements = world_measurements(world, world.trainer)
             group.cancel_scope.cancel()
-        return figures
+        return measurements
 
     with ExitStack() as stack:
-        if not is_affine:
-            stack.enter_context(mock.patch.object(pool, "choose_worker", choose_in_turn))
+        if not has_affinity:
+            stack.enter_context(mock.patch.object(pool, "choose_worker", choose_least_loaded))
         return run_simulated(main, seed)
 
 
-def choose_in_turn(workers: tuple[Worker, ...], request: RouteRequest, rng: random.Random) -> Worker | None:
-    """Choose workers in turn, whatever the prompt."""
+def choose_least_loaded(
+    workers: tuple[Worker, ...], request: RouteRequest, rng: random.Random
+) -> Worker | None:
+    """Return the usable worker with the fewest requests in flight, or None, whatever the prompt."""
     allowed = [
         worker
         for worker in workers
@@ -92,11 +100,11 @@
     return min(allowed, key=lambda worker: worker.num_in_flight, default=None)
 
 
-def world_figures(world: World, record: TrainerRecord) -> RunFigures:
-    """Return the figures of a run of worksramp's nodes."""
+def world_measurements(world: World, record: TrainerRecord) -> RunMeasurements:
+    """Return the measurements of a run of simulated worksramp nodes."""
     samples = [sample for batch in record.batches for sample in batch.samples]
     answered = [event for event in world.history.events if isinstance(event, LiveAnswered)]
-    return RunFigures(
+    return RunMeasurements(
         engines=list(world.cores.engines.values()),
         delivered_lengths=[len(sample.tokens) for sample in samples],
         staleness=record.staleness(),
@@ -112,8 +120,8 @@
     )
 
 
-POLICIES: dict[str, Callable[[ExperimentSpec, int], RunFigures]] = {
-    "no_rollout": lambda spec, seed: run_baseline(spec, seed, run_nothing),
+POLICIES: dict[str, Callable[[ExperimentSpec, int], RunMeasurements]] = {
+    "no_rollout": lambda spec, seed: run_baseline(spec, seed, run_live_only),
     "synchronous": lambda spec, seed: run_baseline(spec, seed, run_synchronous),
     "naive_asynchronous": lambda spec, seed: run_baseline(spec, seed, run_naive),
     "worksramp_idle_time": lambda spec, seed: run_worksramp(spec, seed, Preference.IDLE_TIME, True),
@@ -123,20 +131,20 @@
 
 
 def run_policy(spec: ExperimentSpec, policy: str, seed: int) -> PolicyResult:
-    """Run one policy once."""
+    """Run one policy with one seed and return its metrics."""
     configure_logs("error")
     return POLICIES[policy](spec, seed).result(spec.name, policy, seed)
 
 
 def run_experiments(experiments: tuple[ExperimentSpec, ...], num_processes: int) -> list[PolicyResult]:
-    """Run every policy with every seed of every experiment, in some processes."""
+    """Run every policy with every seed of every experiment, in ``num_processes`` processes."""
     runs = [(spec, policy, seed) for spec in experiments for policy in POLICIES for seed in spec.seeds]
     with ProcessPoolExecutor(num_processes) as processes:
         return list(processes.map(run_policy, *zip(*runs, strict=True)))
 
 
 def write_csv(file: Path, results: list[PolicyResult]) -> None:
-    """Write results, a row a run."""
+    """Write the results as CSV, with one row per run."""
     with file.open("w", newline="", encoding="utf-8") as output:
         writer = csv.writer(output)
         writer.writerow(PolicyResult.__struct_fields__)
@@ -148,7 +156,7 @@
 
 
 def plot(file: Path, results: list[PolicyResult]) -> None:
-    """Plot idle share against mean staleness, a point a run. Needs the extra ``plots``."""
+    """Plot idle share against mean staleness, with one point per run; needs the extra ``plots``."""
     import matplotlib
 
     matplotlib.use("Agg")
