--- a/src/worksramp_emulator/load.py
+++ b/src/worksramp_emulator/load.py
@@ -1,4 +1,4 @@
-"""Load tool: live completions and keyed application calls against gateways, with every answer checked."""
+"""Load generator: sends live completions and keyed calls to gateways, and checks or records the answers."""
 
 import secrets
 import time
@@ -19,7 +19,10 @@
 
 
 def new_key(unix_ms: int | None = None) -> str:
-    """Return a version 7 UUID; Python 3.11 has none of its own.
+    """Return a version 7 UUID, which the standard library of Python 3.11 cannot generate.
+
+    Args:
+        unix_ms: time in the UUID, in milliseconds since 1970; None for now.
 
     Source: RFC 9562, section 5.7.
     """
@@ -31,12 +34,12 @@
 
 @dataclass(slots=True)
 class LoadRecord:
-    """What a load run saw.
+    """Results of the completions of a load run.
 
     Attributes:
-        seconds: latency of each whole answer.
-        num_wrong: answers that were not the whole answer to their own request.
-        refusals: error bodies, by their text.
+        seconds: latency of each answer with status 200.
+        num_wrong: answers with status 200 whose text was not the complete text for their request.
+        refusals: bodies of answers with another status, and descriptions of transport errors.
     """
 
     seconds: list[float] = field(default_factory=list)
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadTarget:
-    """Where live requests go."""
+    """Gateway addresses, API key and parameters of live requests."""
 
     addresses: tuple[str, ...]
     key: str
@@ -55,7 +58,11 @@
 
 
 async def run_completions(target: LoadTarget, num_requests: int, concurrency: int) -> LoadRecord:
-    """Send whole completions, round robin over the gateways, and check each answer's text."""
+    """Send completions that are not streamed, round robin to the gateways, and check each answer's text.
+
+    Args:
+        concurrency: maximum number of requests in flight.
+    """
     record = LoadRecord()
     limiter = anyio.CapacityLimiter(concurrency)
     async with (
@@ -64,11 +71,11 @@
     ):
         for number in range(num_requests):
             await limiter.acquire_on_behalf_of(number)
-            group.start_soon(_one_completion, client, target, number, record, limiter)
+            group.start_soon(_send_completion, client, target, number, record, limiter)
     return record
 
 
-async def _one_completion(
+async def _send_completion(
     client: httpx.AsyncClient,
     target: LoadTarget,
     number: int,
@@ -97,17 +104,25 @@
 
 
 @dataclass(slots=True)
-class KeyedRecord:
-    """What became of keyed requests: outcome by idempotency key; ``completed`` means status 200."""
+class KeyedLoadRecord:
+    """Outcomes of the keyed requests of a load run.
+
+    Attributes:
+        outcomes: ``completed`` where an answer had status 200, otherwise the first error, by idempotency key.
+    """
 
     outcomes: dict[str, str] = field(default_factory=dict)
 
 
 async def run_keyed_calls(
     addresses: tuple[str, ...], key: str, application: str, num_requests: int
-) -> KeyedRecord:
-    """Send each keyed request twice at once, through two gateways."""
-    record = KeyedRecord()
+) -> KeyedLoadRecord:
+    """Send each keyed request twice at the same time, through two gateways, and return the outcomes.
+
+    Args:
+        key: API key of the caller.
+    """
+    record = KeyedLoadRecord()
     async with httpx.AsyncClient(timeout=TIMEOUT_SECONDS, trust_env=False) as client:
         for number in range(num_requests):
             idempotency_key = new_key()
@@ -116,13 +131,13 @@
             async with anyio.create_task_group() as group:
                 for address in (first, second):
                     group.start_soon(
-                        _one_keyed_call, client, address, key, application, idempotency_key, record
+                        _send_keyed_call, client, address, key, application, idempotency_key, record
                     )
     return record
 
 
 async def count_runs(applications: list[str]) -> dict[str, int]:
-    """Return how often each keyed request ran, over all application workers."""
+    """Return how often each keyed request ran at all application workers together, by request id."""
     runs: dict[str, int] = {}
     async with httpx.AsyncClient(trust_env=False) as client:
         for address in applications:
@@ -131,13 +146,13 @@
     return runs
 
 
-async def _one_keyed_call(
+async def _send_keyed_call(
     client: httpx.AsyncClient,
     address: str,
     key: str,
     application: str,
     idempotency_key: str,
-    record: KeyedRecord,
+    record: KeyedLoadRecord,
 ) -> None:
     headers = {"authorization": f"Bearer {key}", "idempotency-key": idempotency_key}
     url = f"http://{address}/v1/applications/{application}/confirm"
