--- a/src/worksramp_emulator/trainer.py
+++ b/src/worksramp_emulator/trainer.py
@@ -1,4 +1,4 @@
-"""Emulated trainer: pulls batches by cursor, trains for a while, publishes new weights."""
+"""Emulated trainer: fetches batches by cursor, trains for a while, and publishes new weights."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """Answer to a request for a batch: the batch, or when to come back."""
+    """Answer to a request for a batch: the batch, or None and the time after which to retry."""
 
     batch: DeliveredBatch | None
     retry_after_seconds: float = RETRY_SECONDS
@@ -21,11 +21,11 @@
 
 @dataclass(slots=True)
 class TrainerRecord:
-    """What one trainer took in.
+    """Batches that a trainer received, and its waiting and training times.
 
     Attributes:
-        batches: as taken, in order.
-        versions: the trainer's own version when it took each batch.
+        batches: received batches, in order.
+        versions: weight version of the trainer when it received each batch.
         idle_seconds: time spent waiting for batches.
         train_seconds: time spent training.
     """
@@ -37,12 +37,12 @@
 
     @property
     def idle_share(self) -> float:
-        """Share of time spent waiting."""
+        """Share of the time spent waiting, or 0.0 before the first batch."""
         total = self.idle_seconds + self.train_seconds
         return self.idle_seconds / total if total else 0.0
 
     def staleness(self) -> list[int]:
-        """Return how many versions each sample's oldest token was behind its trainer."""
+        """Return by how many versions the oldest token of each sample was behind the trainer."""
         return [
             version - min(segment.weight_version for segment in sample.segments)
             for batch, version in zip(self.batches, self.versions, strict=True)
@@ -62,16 +62,19 @@
     train_seconds: float,
     weight_version: int = 1,
 ) -> None:
-    """Take ``num_steps`` batches in, one after the other.
+    """Fetch ``num_steps`` batches one after the other, and train on each.
 
     Args:
-        fetch: asks for ``(cursor, trainer_version)``.
+        fetch: requests the batch for ``(cursor, trainer_version)``.
         publish: publishes a weight version.
+        record: gets the received batches and the times.
+        train_seconds: time of a training step.
+        weight_version: version of the trainer at its start.
     """
     for cursor in range(1, num_steps + 1):
-        asked_at = anyio.current_time()
+        requested_at = anyio.current_time()
         batch = await _fetch_until_ready(fetch, cursor, weight_version)
-        record.idle_seconds += anyio.current_time() - asked_at
+        record.idle_seconds += anyio.current_time() - requested_at
         record.batches.append(batch)
         record.versions.append(weight_version)
         await anyio.sleep(train_seconds)
@@ -84,12 +87,12 @@
     while True:
         result = await fetch(cursor, weight_version)
         batch = result.batch
-        # A batch checked against other weights than the trainer holds now is not taken in.
+        # Ignore a batch whose staleness was checked against another trainer version than the present one.
         if batch is not None and (batch.cursor, batch.trainer_version) == (cursor, weight_version):
             return batch
         await anyio.sleep(result.retry_after_seconds)
 
 
 def decode_batch(body: bytes) -> DeliveredBatch:
-    """Decode a batch as the trainers' API sends it."""
+    """Decode a batch from the body of an answer of the trainers' API."""
     return msgspec.json.decode(body, type=DeliveredBatch)
