--- a/src/worksramp_emulator/trainer_http.py
+++ b/src/worksramp_emulator/trainer_http.py
@@ -1,4 +1,4 @@
-"""Emulated trainer over the trainers' API, as a process of its own."""
+"""Emulated trainer that uses the trainers' HTTP API, for a process of its own."""
 
 from pathlib import Path
 
@@ -28,7 +28,14 @@
     train_seconds: float,
     record_file: str,
 ) -> None:
-    """Run a trainer to its end and write its record as JSON."""
+    """Run a trainer for ``num_steps`` steps and write its record as JSON.
+
+    Args:
+        nodes: addresses of gateways.
+        key: API key of the trainer.
+        store: address of the weight store.
+        record_file: path of the file to write.
+    """
     record = TrainerRecord()
     headers = {"authorization": f"Bearer {key}"}
     async with httpx.AsyncClient(timeout=TIMEOUT_SECONDS, headers=headers, trust_env=False) as client:
@@ -36,7 +43,7 @@
 
         async def fetch(cursor: int, weight_version: int) -> FetchResult:
             nonlocal num_tries
-            # Another gateway after each failure: any of them finds the job's owner.
+            # Use the next gateway after each failure, since every gateway can reach the job's owner.
             node = nodes[num_tries % len(nodes)]
             url = f"http://{node}/v1/jobs/{job}/batches/{cursor}"
             try:
@@ -59,5 +66,5 @@
 
 
 def read_record(record_file: str) -> TrainerRecord:
-    """Read a record that a trainer process wrote."""
+    """Read the record that `run_http_trainer` wrote."""
     return msgspec.json.decode(Path(record_file).read_bytes(), type=TrainerRecord)
