--- a/src/worksramp_emulator/hollow.py
+++ b/src/worksramp_emulator/hollow.py
@@ -1,7 +1,7 @@
-"""Many nodes or engines in one process, to measure what a real node costs beside hundreds of others.
+"""Many nodes or engines in one process, to measure the cost of a real node among hundreds of others.
 
-Hollow nodes run the production node with its production transport; only their HTTP API is missing, and
-they share a process and its event loop. Hollow engines run the emulated engine behind a port each.
+Hollow nodes run the production node with its production transport. They have no HTTP API, and they share one
+process and its event loop. Hollow engines are emulated engines, each with a port of its own.
 """
 
 from pathlib import Path
@@ -24,7 +24,7 @@
 
 
 async def run_hollow_nodes(settings_file: str) -> None:
-    """Run every node of a JSON file of settings until killed."""
+    """Run a node for each entry of a JSON file of settings, until killed."""
     raw = await anyio.Path(settings_file).read_bytes()
     all_settings = msgspec.json.decode(raw, type=tuple[NodeSettings, ...])
     configure_logs("error")
@@ -35,7 +35,7 @@
 
 
 class NodesOnlyList(MachineListClient):
-    """The machine list without workers: a hollow node sends no requests, so it needs no load reports."""
+    """Machine list without workers. Hollow nodes send no requests, so they need no load reports."""
 
     def __init__(self, inner: MachineListClient) -> None:
         self._inner = inner
@@ -47,7 +47,7 @@
 
 
 async def _run_hollow_node(settings: NodeSettings) -> None:
-    """Run one node with a connection pool of its own, as a real one has."""
+    """Run one node with a connection pool of its own, as a real node has."""
     async with httpx.AsyncClient(trust_env=False, verify=False) as client:
         addresses = settings.platform
         platform = http_platform(client, addresses.log, addresses.weight_store, addresses.machine_list)
@@ -58,7 +58,7 @@
 
 
 async def run_hollow_engines(addresses: tuple[str, ...], profile: EngineProfile) -> None:
-    """Run an engine on each address until killed."""
+    """Run an emulated engine on each address until killed."""
     async with anyio.create_task_group() as group:
         for index, address in enumerate(addresses):
             core = EngineCore(f"engine-{index}", profile)
@@ -67,5 +67,5 @@
 
 
 def read_addresses(file: str) -> tuple[str, ...]:
-    """Read addresses, one a line."""
+    """Return the addresses in a file that has one per line."""
     return tuple(Path(file).read_text(encoding="utf-8").split())
