--- a/src/worksramp_emulator/faults.py
+++ b/src/worksramp_emulator/faults.py
@@ -1,4 +1,4 @@
-"""Fault switches that every stand-in has."""
+"""Fault switches that all emulated services share."""
 
 from dataclasses import dataclass
 
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Switches of one stand-in; all off at first.
+    """Fault switches of one emulated service, all off at the start.
 
     Attributes:
-        is_down: refuses every connection.
-        is_frozen: takes requests and answers none until thawed.
-        extra_seconds: added to every answer.
-        num_lost_replies: so many next answers are lost after the effect.
+        is_down: whether it refuses every connection.
+        is_frozen: whether it accepts requests but suspends them until this is reset.
+        extra_seconds: time added to every answer.
+        num_lost_replies: number of further requests whose reply is lost after they took effect.
     """
 
     is_down: bool = False
@@ -24,10 +24,10 @@
     num_lost_replies: int = 0
 
     async def before(self, step: str, peer: str) -> None:
-        """Apply the switches that come before the effect.
+        """Apply the switches that act before a request takes effect.
 
         Raises:
-            NotStartedError: the stand-in is down.
+            NotStartedError: the service is down.
         """
         if self.is_down:
             raise NotStartedError(step, peer, "connection refused")
@@ -37,10 +37,10 @@
             await anyio.sleep(self.extra_seconds)
 
     def after(self, step: str, peer: str) -> None:
-        """Apply the switches that come after the effect.
+        """Apply the switches that act after a request took effect.
 
         Raises:
-            InterruptedStepError: the reply is lost.
+            InterruptedStepError: the reply is lost, or the service has gone down.
         """
         if self.num_lost_replies > 0:
             self.num_lost_replies -= 1
