--- a/src/worksramp_emulator/cli.py
+++ b/src/worksramp_emulator/cli.py
@@ -1,4 +1,4 @@
-"""Console command of the emulator: one stand-in a process."""
+"""Console command of the emulator: emulated services, simulations and experiments, one per process."""
 
 import sys
 import tomllib
@@ -38,10 +38,16 @@
 
 
 class EmulatorCommands:
-    """Stand-ins for the systems that worksramp serves. Each runs until it is killed."""
+    """Run emulations of the systems that worksramp serves, simulations or experiments.
+
+    Emulated services run until they are killed.
+    """
 
     def log(self, listen: str) -> None:
-        """Serve the append-only log, for example ``worksramp-emulator log --listen 127.0.0.1:7101``."""
+        """Serve the emulated append-only log.
+
+        Example: ``worksramp-emulator log --listen 127.0.0.1:7101``
+        """
         anyio.run(_serve_log, listen)
 
     def platform(self, listen: str, machines: str, lag_seconds: float = 2.0) -> None:
@@ -57,7 +63,7 @@
         step_per_sequence_seconds: float = 0.0005,
         load_seconds: float = 1.0,
     ) -> None:
-        """Serve a model engine."""
+        """Serve an emulated model engine."""
         profile = EngineProfile(
             max_num_seqs=max_num_seqs,
             step_base_seconds=step_base_seconds,
@@ -67,7 +73,7 @@
         anyio.run(_serve_engine, listen, engine_id, profile)
 
     def application(self, listen: str, worker_id: str, service_seconds: float = 0.02) -> None:
-        """Serve an application worker."""
+        """Serve an emulated application worker."""
         core = ApplicationCore(worker_id, service_seconds)
         anyio.run(serve_app, application_worker_app(core), listen)
 
@@ -82,25 +88,25 @@
         train_seconds: float,
         record_file: str,
     ) -> None:
-        """Run a trainer for some steps; ``nodes`` are gateways, separated by spaces."""
+        """Run a trainer for ``num_steps`` steps; ``nodes`` are gateway addresses, separated by spaces."""
         addresses = tuple(nodes.split())
         anyio.run(run_http_trainer, addresses, key, job, store, model, num_steps, train_seconds, record_file)
 
     def hollow_nodes(self, settings_file: str) -> None:
-        """Run many nodes without HTTP API in one process, from a JSON file of their settings."""
+        """Run many nodes without an HTTP API in one process, from a JSON file with their settings."""
         anyio.run(run_hollow_nodes, settings_file)
 
     def hollow_engines(self, addresses_file: str, max_num_seqs: int = 16, load_seconds: float = 1.0) -> None:
-        """Run many engines in one process, one on each address of a file."""
+        """Run many emulated engines in one process, one for each address in a file."""
         profile = EngineProfile(max_num_seqs=max_num_seqs, load_seconds=load_seconds)
         anyio.run(run_hollow_engines, read_addresses(addresses_file), profile)
 
     def simulate(
         self, scenario: str = "chaos", seeds: int = 20, first: int = 0, without: str = "", processes: int = 4
     ) -> None:
-        """Run seeds of a scenario and print the first failing one with its history.
+        """Run a scenario with several seeds and print the first failed run with its history.
 
-        Exit code 1 if a seed fails. ``--without NAME`` switches a mechanism off.
+        The exit code is 1 if a run fails. ``--without NAME`` switches a mechanism off.
 
         Example: ``worksramp-emulator simulate --scenario owner_troubles --seeds 200``
         """
@@ -117,7 +123,7 @@
             raise SystemExit(EXIT_FAILED)
 
     def experiment(self, file: str, out: str, plots: bool = False, processes: int = 4) -> None:
-        """Run the policies of an experiment file side by side; write ``experiments.csv`` into a folder.
+        """Run all policies on the experiments of a file and write ``experiments.csv`` into a folder.
 
         Example: ``worksramp-emulator experiment --file examples/experiments.toml --out docs/results``
         """
@@ -133,7 +139,7 @@
 
 
 def print_result(result: RunResult) -> None:
-    """Print one failing run."""
+    """Print the history and the violations of a failed run."""
     print(f"seed {result.seed}, digest {result.digest}")
     print("\n".join(result.history))
     for violation in result.violations:
