--- a/src/worksramp_emulator/__init__.py
+++ b/src/worksramp_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that worksramp serves, a load tool and a deterministic simulation."""
+"""Emulated systems around worksramp, a load generator, experiments and a deterministic simulation."""
