--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,7 @@
-"""Measures what worksramp costs, and the slopes from which docs/CAPACITY.md is worked out.
+"""Measure the costs of worksramp, and the slopes from which docs/CAPACITY.md is computed.
 
 Real nodes are separate processes; hollow ones share a process. All traffic stays on loopback, and every
-part is bounded in time and count. Raw figures go to docs/results/.
+part is bounded in time and count. Raw results go to docs/results/.
 """
 
 import json
@@ -17,7 +17,7 @@
 import anyio
 import httpx
 import msgspec
-from bench_deciders import measure_deciders
+from bench_deciders import measure_decisions
 from deployment import API_KEYS, ROOT, Deployment, free_addresses, load_example
 from prometheus_client.parser import text_string_to_metric_families
 
@@ -38,23 +38,23 @@
 PERCENT = 100.0
 MIB = 1024.0 * 1024.0
 PLATFORM_BYTES = "worksramp_platform_bytes_total"
-Figures = dict[str, float]
+Metrics = dict[str, float]
 
 
-async def read_metrics(address: str) -> Figures:
-    """Return a node's counters: labels are joined to the name."""
+async def read_metrics(address: str) -> Metrics:
+    """Return the metrics of a node by name; the values of the labels are appended to the name."""
     async with httpx.AsyncClient(trust_env=False) as client:
         text = (await client.get(f"http://{address}/metrics")).text
-    figures: Figures = {}
+    metrics: Metrics = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
             label = ".".join(sample.labels.values())
-            figures[f"{sample.name}.{label}".rstrip(".")] = sample.value
-    return figures
+            metrics[f"{sample.name}.{label}".rstrip(".")] = sample.value
+    return metrics
 
 
-async def measure_window(addresses: list[str], seconds: float) -> list[Figures]:
-    """Return each node's counters a second over a window, and its memory."""
+async def measure_window(addresses: list[str], seconds: float) -> list[Metrics]:
+    """Return, for each node, the increase of its metrics per second over a window, and its memory."""
     before = [await read_metrics(address) for address in addresses]
     started_at = time.monotonic()
     await anyio.sleep(seconds)
@@ -68,13 +68,13 @@
     return rates
 
 
-def total(figures: Figures, prefix: str) -> float:
-    """Return the sum over all labels of a counter."""
-    return sum(value for key, value in figures.items() if key.startswith(prefix))
+def total(metrics: Metrics, prefix: str) -> float:
+    """Return the sum of the metrics whose names start with a prefix."""
+    return sum(value for key, value in metrics.items() if key.startswith(prefix))
 
 
-def summarize(rates: list[Figures]) -> Figures:
-    """Return control costs a node: the mean over nodes, and the spread of CPU."""
+def summarize(rates: list[Metrics]) -> Metrics:
+    """Return the control cost per node: means over the nodes, and the range of the CPU."""
     cpu = [rate["process_cpu_seconds_total"] * PERCENT for rate in rates]
 
     def mean(prefix: str) -> float:
@@ -92,7 +92,7 @@
 
 
 def hollow_settings(deployment: Deployment, count: int) -> list[NodeSettings]:
-    """Return settings of hollow nodes; they are gateways only, so that real nodes own all shards."""
+    """Return settings of hollow nodes, which are only gateways, so that real nodes own all shards."""
     peers = free_addresses(count)
     return [
         NodeSettings(
@@ -108,8 +108,15 @@
 
 
 @asynccontextmanager
-async def running(num_hollow: int = 0, num_engines: int | None = None) -> AsyncIterator[Deployment]:
-    """Run the Zwrotka example with more nodes or engines, and stop it afterwards."""
+async def running_deployment(
+    num_hollow: int = 0, num_engines: int | None = None
+) -> AsyncIterator[Deployment]:
+    """Run the Zwrotka example with more nodes or other engines, and stop it afterwards.
+
+    Args:
+        num_hollow: number of hollow nodes that are added.
+        num_engines: number of hollow engines instead of the example's engines, or None for these.
+    """
     example = load_example("zwrotka")
     if num_engines is not None:
         example = msgspec.structs.replace(example, num_engines=num_engines)
@@ -136,7 +143,7 @@
 
 
 async def wait_members(deployment: Deployment, count: int) -> None:
-    """Wait until the first node knows so many live members."""
+    """Wait until the first node lists at least ``count`` live members."""
     with anyio.fail_after(90.0):
         while True:
             status = await read_status(deployment.nodes[0])
@@ -146,18 +153,18 @@
 
 
 async def read_status(address: str) -> dict[str, list[dict[str, str]]]:
-    """Return a node's status."""
+    """Return the status of a node, as its HTTP API reports it."""
     headers = {"authorization": f"Bearer {API_KEYS['operator']}"}
     async with httpx.AsyncClient(headers=headers, trust_env=False, timeout=30.0) as client:
         response = await client.get(f"http://{address}/v1/status")
     return dict(response.json())
 
 
-async def bench_nodes() -> list[Figures]:
-    """Control cost of a real node, and the spread of a change, as the number of nodes grows."""
+async def bench_nodes() -> list[Metrics]:
+    """Measure the control cost of a real node and the time to apply a change, by number of nodes."""
     rows = []
     for num_hollow in NUM_HOLLOW_NODES:
-        async with running(num_hollow) as deployment:
+        async with running_deployment(num_hollow) as deployment:
             await publish_without_jobs(deployment)
             await anyio.sleep(SETTLE_SECONDS)
             row = summarize(await measure_window(deployment.nodes, WINDOW_SECONDS))
@@ -168,8 +175,8 @@
     return rows
 
 
-async def spread_changes(deployment: Deployment) -> Figures:
-    """Publish changes and time each until all real nodes have it in force."""
+async def spread_changes(deployment: Deployment) -> Metrics:
+    """Publish configuration changes and measure the time until each is in force on all real nodes."""
     headers = {"authorization": f"Bearer {API_KEYS['operator']}"}
     seconds = []
     async with httpx.AsyncClient(headers=headers, trust_env=False, timeout=30.0) as client:
@@ -193,11 +200,11 @@
     return {"change_seconds_median": statistics.median(seconds), "change_seconds_max": max(seconds)}
 
 
-async def bench_engines() -> list[Figures]:
-    """Cost of a cell's owner, and time of a weight rollout, as the number of engines in a cell grows."""
+async def bench_engines() -> list[Metrics]:
+    """Measure the cost of a cell's owner and the time of a weight rollout, by number of engines."""
     rows = []
     for num_engines in NUM_ENGINES:
-        async with running(0, num_engines) as deployment:
+        async with running_deployment(0, num_engines) as deployment:
             await publish_without_jobs(deployment)
             await anyio.sleep(SETTLE_SECONDS)
             rates = await measure_window(deployment.nodes, WINDOW_SECONDS)
@@ -218,7 +225,7 @@
 
 
 async def publish_without_jobs(deployment: Deployment) -> None:
-    """Publish a configuration with a model but no job, so that only control costs are seen."""
+    """Publish a configuration with a model but no job, so that only control costs are measured."""
     headers = {"authorization": f"Bearer {API_KEYS['operator']}"}
     document = {"models": {deployment.example.model: deployment.example.fleet}}
     change = {"change_id": "models", "expected_revision": 0, "document": document}
@@ -228,7 +235,7 @@
 
 
 async def time_rollout(deployment: Deployment) -> float:
-    """Publish weights and return how long until every engine reports them."""
+    """Publish weights and return the seconds until all engines report them, or about 120 if one does not."""
     async with httpx.AsyncClient(trust_env=False, timeout=30.0) as client:
         url = f"http://{deployment.platform}/v1/models/{deployment.example.model}/newest"
         started_at = time.monotonic()
@@ -243,10 +250,10 @@
         return time.monotonic() - started_at
 
 
-async def bench_requests() -> list[Figures]:
-    """CPU a live request and a token, and a keyed request, summed over the nodes."""
+async def bench_requests() -> list[Metrics]:
+    """Measure the CPU per live request at two lengths and per keyed request, summed over the nodes."""
     rows = []
-    async with running() as deployment:
+    async with running_deployment() as deployment:
         await publish_without_jobs(deployment)
         await anyio.sleep(4.0)
         idle = await total_cpu(deployment, lambda: anyio.sleep(10.0))
@@ -277,9 +284,9 @@
     return rows
 
 
-async def bench_samples() -> list[Figures]:
-    """CPU and log bytes a delivered sample, summed over the nodes."""
-    async with running() as deployment:
+async def bench_samples() -> list[Metrics]:
+    """Measure CPU and log bytes per delivered sample, summed over the nodes."""
+    async with running_deployment() as deployment:
         await deployment.configure()
         await anyio.sleep(4.0)
         before = await log_bytes(deployment)
@@ -305,7 +312,7 @@
 
 
 async def total_cpu(deployment: Deployment, work) -> float:  # type: ignore[no-untyped-def]
-    """Return the CPU seconds that all nodes spend while work is done."""
+    """Return the CPU seconds that all nodes use while ``work`` runs."""
     before = [await read_metrics(address) for address in deployment.nodes]
     await work()
     after = [await read_metrics(address) for address in deployment.nodes]
@@ -314,13 +321,13 @@
 
 
 async def log_bytes(deployment: Deployment) -> float:
-    """Return the bytes that the log holds."""
+    """Return the number of bytes in the log."""
     async with httpx.AsyncClient(trust_env=False) as client:
         return float((await client.get(f"http://{deployment.log}/size")).json()["num_bytes"])
 
 
-def report(part: str, row: Figures) -> None:
-    """Print one row as it is measured."""
+def report(part: str, row: Metrics) -> None:
+    """Print a row of results."""
     print(part, " ".join(f"{key}={value:.4g}" for key, value in row.items()), flush=True)
 
 
@@ -333,14 +340,14 @@
 
 
 async def run_parts(names: list[str]) -> None:
-    """Run parts and write the raw figures after each; figures of parts not run stay as they are."""
+    """Run parts and write the raw results after each; results of parts that are not run are kept."""
     file = anyio.Path(ROOT / "docs" / "results" / "bench.json")
     results = json.loads(await file.read_text(encoding="utf-8")) if await file.exists() else {}
     results["machine"] = (
         f"{platform.machine()}, Python {platform.python_version()}, 8 cores shared with the load"
     )
     if "deciders" in names:
-        results["deciders"] = {"date": date.today().isoformat(), "rows": measure_deciders(report)}
+        results["deciders"] = {"date": date.today().isoformat(), "rows": measure_decisions(report)}
     for name in names:
         if name in PARTS:
             results[name] = {"date": date.today().isoformat(), "rows": await PARTS[name]()}
--- a/scripts/bench_deciders.py
+++ b/scripts/bench_deciders.py
@@ -1,4 +1,4 @@
-"""Decisions a second and bytes a row of the pure deciders, at the sizes of the target."""
+"""Benchmarks of the pure decision functions at the target size: decisions per second and bytes per row."""
 
 import random
 import time
@@ -18,7 +18,7 @@
 from worksramp.routing.choice import RouteRequest, choose_worker
 from worksramp.routing.leases import Worker
 
-Figures = dict[str, float]
+Metrics = dict[str, float]
 SAMPLES_PER_STEP = 8192
 NUM_LEDGER_ROWS = 20_000
 NUM_MEMBERS = 330
@@ -27,7 +27,7 @@
 
 
 def rate(work: Callable[[], object]) -> float:
-    """Return how often a second work can be done."""
+    """Return how many times per second ``work`` can run."""
     count = 0
     started_at = time.perf_counter()
     while time.perf_counter() - started_at < MIN_SECONDS:
@@ -36,16 +36,16 @@
     return count / (time.perf_counter() - started_at)
 
 
-def measure_deciders(report: Callable[[str, Figures], None]) -> list[Figures]:
-    """Measure every decider."""
+def measure_decisions(report: Callable[[str, Metrics], None]) -> list[Metrics]:
+    """Run all benchmarks of this module and return one row for each."""
     rows = [measure_choice(), measure_job(), measure_ledger(), measure_membership()]
     for row in rows:
         report("deciders", row)
     return rows
 
 
-def measure_choice() -> Figures:
-    """Choice among the eight workers of a subset."""
+def measure_choice() -> Metrics:
+    """Measure the choice among the eight workers of a subset."""
     workers = tuple(
         Worker(
             Machine(f"worker-{index}", MachineRole.ENGINE, "a", "z"),
@@ -60,7 +60,7 @@
 
 
 def finished_entries() -> list[bytes]:
-    """Return one step's finished samples as log entries."""
+    """Return the finished samples of one step as encoded log entries."""
     tokens = tuple(f"w{index:08x} " for index in range(TOKENS_PER_SAMPLE))
     segments = (Segment(1, 0, 100), Segment(2, 100, TOKENS_PER_SAMPLE))
     return [
@@ -69,8 +69,8 @@
     ]
 
 
-def measure_job() -> Figures:
-    """Fold and plans of one job at 8,192 samples a step."""
+def measure_job() -> Metrics:
+    """Measure the fold and the plans of a job with 8,192 samples per step."""
     entries = finished_entries()
     fold = StreamFold(JobState())
     fold.apply(0, msgspec.msgpack.encode(Envelope(1, "o", Claim())))
@@ -97,8 +97,8 @@
     }
 
 
-def measure_ledger() -> Figures:
-    """Fold of one ledger slice."""
+def measure_ledger() -> Metrics:
+    """Measure the fold of one ledger shard."""
     keys = [f"tenant/0190a1b2-c3d4-7000-8000-{number:012x}" for number in range(NUM_LEDGER_ROWS)]
     state = LedgerState()
     entries = [
@@ -119,8 +119,8 @@
     }
 
 
-def measure_membership() -> Figures:
-    """Ticks of a member that knows all nodes of the target."""
+def measure_membership() -> Metrics:
+    """Measure the ticks of a member whose table holds all nodes of the target size."""
     tracemalloc.start()
     membership = Membership(Member("m0", "a0", "z", ("coordinator",)), 1)
     for index in range(1, NUM_MEMBERS):
