--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,6 +1,6 @@
-"""Runs both example deployments end to end on loopback and checks what came out.
+"""Run both example deployments end to end on loopback and check the results.
 
-Exit status 0 only if every check of the summary holds.
+The exit status is 0 only if every check of the summary holds.
 """
 
 import sys
@@ -34,7 +34,11 @@
 
 @dataclass(slots=True)
 class Row:
-    """One line of the summary; a line without an expectation is a figure only."""
+    """Line of a summary.
+
+    Attributes:
+        is_good: whether the check of this line holds, or None if the line is only informative.
+    """
 
     name: str
     value: str
@@ -43,22 +47,22 @@
 
 @dataclass(slots=True)
 class Summary:
-    """Lines of one deployment."""
+    """Summary of one deployment."""
 
     deployment: str
     rows: list[Row] = field(default_factory=list)
 
     def check(self, name: str, value: object, is_good: bool) -> None:
-        """Add a line that must hold."""
+        """Add a line with a check, which holds if ``is_good``."""
         self.rows.append(Row(name, str(value), is_good))
 
-    def figure(self, name: str, value: object) -> None:
-        """Add a line that only informs."""
+    def info(self, name: str, value: object) -> None:
+        """Add a line without a check."""
         self.rows.append(Row(name, str(value)))
 
     @property
     def is_good(self) -> bool:
-        """Whether every check holds."""
+        """Whether all checks hold."""
         return all(row.is_good is not False for row in self.rows)
 
     def print(self) -> None:
@@ -70,18 +74,18 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile of values, 0.0 for none."""
+    """Return a percentile of values, or 0.0 if there are none; ``share`` is from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def format_ms(seconds: float) -> str:
-    """Return seconds as milliseconds."""
+    """Return a time as text in milliseconds."""
     return f"{seconds * MILLISECONDS:.1f} ms"
 
 
 async def run_deployment(name: str) -> Summary:
-    """Run one deployment to its end."""
+    """Run one deployment with its workload, stop it, and return the summary."""
     summary = Summary(name)
     deployment = Deployment.plan(name, RUN_DIRECTORY / name)
     started_at = time.monotonic()
@@ -91,33 +95,33 @@
             deployment.start_node(index)
         for index in range(len(deployment.nodes)):
             await deployment.wait_ready(index)
-        summary.figure("start-up of all processes", f"{time.monotonic() - started_at:.1f} s")
+        summary.info("start-up of all processes", f"{time.monotonic() - started_at:.1f} s")
         await deployment.configure()
-        await exercise(deployment, summary)
+        await run_workload(deployment, summary)
         memory = max(deployment.memory_mib(f"node-{index}") for index in range(len(deployment.nodes)))
-        summary.figure("resident memory of the largest node", f"{memory:.0f} MiB")
+        summary.info("resident memory of the largest node", f"{memory:.0f} MiB")
     finally:
         codes = deployment.stop()
-    summary.check("nodes that stopped in order", len(codes), all(code == 0 for code in codes.values()))
+    summary.check("nodes that stopped gracefully", len(codes), all(code == 0 for code in codes.values()))
     return summary
 
 
-async def exercise(deployment: Deployment, summary: Summary) -> None:
-    """Run trainers and live traffic, then check the records."""
+async def run_workload(deployment: Deployment, summary: Summary) -> None:
+    """Run trainers, live and keyed requests, and add the checks of their results to the summary."""
     jobs = tuple(deployment.example.prompt_files)
     files = {job: deployment.start_trainer(job, NUM_STEPS, TRAIN_SECONDS) for job in jobs}
     target = LoadTarget(tuple(deployment.nodes), API_KEYS["caller"], deployment.example.model)
     await wait_routable(deployment)
     live = await run_completions(target, NUM_LIVE_REQUESTS, LIVE_CONCURRENCY)
     summary.check(
-        "live requests answered whole",
+        "live requests answered completely",
         f"{len(live.seconds)} of {NUM_LIVE_REQUESTS}",
         len(live.seconds) == NUM_LIVE_REQUESTS and live.num_wrong == 0,
     )
     for refusal in live.refusals[:3]:
-        summary.figure("refusal", refusal)
-    summary.figure("live p50 beside rollout", format_ms(percentile(live.seconds, 0.5)))
-    summary.figure("live p99 beside rollout", format_ms(percentile(live.seconds, 0.99)))
+        summary.info("refusal", refusal)
+    summary.info("live p50 beside rollout", format_ms(percentile(live.seconds, 0.5)))
+    summary.info("live p99 beside rollout", format_ms(percentile(live.seconds, 0.99)))
     await check_keyed(deployment, summary)
     for job in jobs:
         await wait_process(deployment, f"trainer-{job}")
@@ -126,7 +130,7 @@
 
 
 async def wait_routable(deployment: Deployment) -> None:
-    """Wait until every gateway answers a completion; reports must have come in first."""
+    """Wait until every gateway completes a request, for which it must first have load reports."""
     body = {"model": deployment.example.model, "prompt": "warm-up", "max_tokens": 4}
     headers = {"authorization": f"Bearer {API_KEYS['caller']}"}
     async with httpx.AsyncClient(headers=headers, trust_env=False) as client:
@@ -140,14 +144,14 @@
 
 
 async def wait_process(deployment: Deployment, name: str) -> None:
-    """Wait for a process to end."""
+    """Wait until a process has ended."""
     with anyio.fail_after(TRAINER_TIMEOUT_SECONDS):
         while deployment.processes[name].poll() is None:
             await anyio.sleep(0.1)
 
 
 async def check_keyed(deployment: Deployment, summary: Summary) -> None:
-    """Send keyed requests twice each and count how often they ran."""
+    """Send each keyed request twice and check that it ran once."""
     application = deployment.example.application
     keyed = await run_keyed_calls(
         tuple(deployment.nodes), API_KEYS["caller"], application, NUM_KEYED_REQUESTS
@@ -164,18 +168,19 @@
 async def check_job(
     deployment: Deployment, summary: Summary, job: str, record: TrainerRecord, num_steps: int
 ) -> None:
-    """Check what one trainer took in against the engines' own records."""
+    """Check the batches that a trainer received against the records of the engines."""
     samples = [sample for batch in record.batches for sample in batch.samples]
     bound = {"explanations": 2, "disputes": 1, "replies": 2}[job]
     duplicates = len(samples) - len({sample.index for sample in samples})
     staleness = record.staleness()
-    truth = await read_truth(deployment)
+    token_versions = await read_token_versions(deployment)
     num_wrong = sum(
         1
         for sample in samples
         for segment in sample.segments
         for index in range(segment.start, segment.end)
-        if segment.weight_version not in truth.get((sample.prompt, "".join(sample.tokens), index), set())
+        if segment.weight_version
+        not in token_versions.get((sample.prompt, "".join(sample.tokens), index), set())
     )
     summary.check(f"{job}: steps delivered", len(record.batches), len(record.batches) == num_steps)
     summary.check(f"{job}: samples delivered", len(samples), len(samples) > 0)
@@ -183,27 +188,25 @@
     summary.check(f"{job}: tokens with a wrong weight version", num_wrong, num_wrong == 0)
     num_stale = sum(1 for age in staleness if age > bound)
     summary.check(f"{job}: samples staler than {bound}", num_stale, num_stale == 0)
-    summary.figure(
-        f"{job}: staleness mean / max", f"{sum(staleness) / len(staleness):.2f} / {max(staleness)}"
-    )
-    summary.figure(f"{job}: trainer idle share", f"{record.idle_share:.2f}")
+    summary.info(f"{job}: staleness mean / max", f"{sum(staleness) / len(staleness):.2f} / {max(staleness)}")
+    summary.info(f"{job}: trainer idle share", f"{record.idle_share:.2f}")
 
 
-async def read_truth(deployment: Deployment) -> dict[tuple[str, str, int], set[int]]:
-    """Return which weight versions produced each token: by prompt, whole text and token index."""
-    truth: dict[tuple[str, str, int], set[int]] = {}
+async def read_token_versions(deployment: Deployment) -> dict[tuple[str, str, int], set[int]]:
+    """Return the weight versions that generated each token, by prompt, complete text and token index."""
+    token_versions: dict[tuple[str, str, int], set[int]] = {}
     async with httpx.AsyncClient(trust_env=False) as client:
         for address in deployment.engines:
             body = (await client.get(f"http://{address}/token_runs")).content
             for run in msgspec.json.decode(body, type=list[TokenRun]):
                 text = expected_completion(run.prompt, run.seed, run.max_tokens)
                 for index in range(run.start, run.end):
-                    truth.setdefault((run.prompt, text, index), set()).add(run.weight_version)
-    return truth
+                    token_versions.setdefault((run.prompt, text, index), set()).add(run.weight_version)
+    return token_versions
 
 
 async def compare_latency(deployment: Deployment, summary: Summary) -> None:
-    """Measure what a gateway adds to a direct call, alternating between the two."""
+    """Measure the latency of direct calls and of calls through a gateway, in alternation."""
     direct: list[float] = []
     through: list[float] = []
     target = LoadTarget((deployment.nodes[0],), API_KEYS["caller"], deployment.example.model, 8)
@@ -221,11 +224,11 @@
             through += record.seconds
     for name, seconds in (("direct call", direct), ("through a gateway", through)):
         middle, high = format_ms(percentile(seconds, 0.5)), format_ms(percentile(seconds, 0.99))
-        summary.figure(f"{name} p50 / p99", f"{middle} / {high}")
+        summary.info(f"{name} p50 / p99", f"{middle} / {high}")
 
 
 async def run_all() -> bool:
-    """Run the deployments one after the other."""
+    """Run the deployments one after the other and return whether all checks hold."""
     summaries = [await run_deployment(name) for name in ("zwrotka", "litoral")]
     for summary in summaries:
         summary.print()
