--- a/scripts/deployment.py
+++ b/scripts/deployment.py
@@ -1,4 +1,4 @@
-"""Starts one example deployment as separate processes on loopback, and stops them by process id."""
+"""Example deployments as separate processes on loopback, which are stopped by process id."""
 
 import hashlib
 import os
@@ -29,7 +29,7 @@
 
 
 class EngineTable(msgspec.Struct, forbid_unknown_fields=True):
-    """Speed of the emulated engines."""
+    """Profile of the emulated engines."""
 
     max_num_seqs: int
     step_base_seconds: float
@@ -38,7 +38,7 @@
 
 
 class Example(msgspec.Struct, forbid_unknown_fields=True):
-    """A deployment as its ``deployment.toml`` gives it."""
+    """An example deployment, as its ``deployment.toml`` specifies it."""
 
     tenant: str
     zones: tuple[str, ...]
@@ -53,16 +53,16 @@
 
 
 def load_example(name: str) -> Example:
-    """Read an example deployment."""
+    """Read the example deployment with a name."""
     raw = tomllib.loads((ROOT / "examples" / name / "deployment.toml").read_text(encoding="utf-8"))
     return msgspec.convert(raw, Example)
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return loopback addresses whose ports are free for TCP and UDP now.
+    """Return ``count`` loopback addresses whose ports are free for TCP and UDP now.
 
-    They lie below the range from which outgoing connections get theirs; otherwise one of those could take
-    a port between this look and the listener's start.
+    The ports lie below the ephemeral port range. Otherwise an outgoing connection could take a port between
+    this check and the start of the listener.
     """
     ports = random.sample(range(*PORT_RANGE), PORT_RANGE[1] - PORT_RANGE[0])
     free: list[str] = []
@@ -74,9 +74,9 @@
 
 
 def _is_free(kind: socket.SocketKind, port: int) -> bool:
-    with socket.socket(socket.AF_INET, kind) as item:
+    with socket.socket(socket.AF_INET, kind) as sock:
         try:
-            item.bind((HOST, port))
+            sock.bind((HOST, port))
         except OSError:
             return False
     return True
@@ -84,11 +84,17 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """The processes of one example.
+    """Addresses and processes of one example.
 
     Attributes:
-        nodes: HTTP addresses of the nodes, by zone.
-        processes: every process started, by name.
+        directory: folder for generated files and the output of the processes.
+        log: address of the emulated log.
+        platform: address of weight store, machine list and scorer.
+        nodes: HTTP addresses of the nodes, one per zone, in the order of the zones.
+        peers: addresses of the same nodes for other nodes.
+        extra_machines: machines that the machine list contains beside those of the example.
+        are_engines_hollow: whether all engines share one process.
+        processes: all started processes, by name.
     """
 
     example: Example
@@ -106,11 +112,12 @@
 
     @classmethod
     def plan(cls, name: str, directory: Path, example: Example | None = None) -> "Deployment":
-        """Choose addresses; nothing is started yet.
+        """Return a deployment with free addresses and no processes.
 
         Args:
             name: folder of the example, whose prompts and configuration are used.
-            example: sizes to use instead of the example's own.
+            directory: folder for generated files, created if missing.
+            example: specification to use instead of the one in the folder.
         """
         example = example or load_example(name)
         num_zones = len(example.zones)
@@ -161,13 +168,13 @@
             )
 
     def start_node(self, index: int) -> None:
-        """Start the node of one zone."""
+        """Start the node of the zone with an index."""
         file = self.directory / f"node-{index}.toml"
         file.write_text(self._settings(index), encoding="utf-8")
         self._start(f"node-{index}", [str(BIN / "worksramp"), "node", "--settings", str(file)])
 
     def start_trainer(self, job: str, num_steps: int, train_seconds: float) -> Path:
-        """Start a trainer and return the file that it will write its record to."""
+        """Start a trainer and return the path of the file to which it will write its record."""
         record_file = self.directory / f"trainer-{job}.json"
         self.emulator(
             f"trainer-{job}",
@@ -184,7 +191,7 @@
         return record_file
 
     def machines(self) -> tuple[Machine, ...]:
-        """Return the machine list."""
+        """Return the machine list of the deployment."""
         zones = self.example.zones
         nodes = [
             Machine(f"node-{index}", MachineRole.NODE, address, zones[index])
@@ -205,10 +212,10 @@
         return (*nodes, *engines, *applications, *self.extra_machines)
 
     async def wait_ready(self, index: int) -> None:
-        """Return once a node says that it is ready.
+        """Wait until a node is ready.
 
         Raises:
-            TimeoutError: it did not in time.
+            TimeoutError: it was not ready within ``READY_TIMEOUT_SECONDS``.
         """
         async with httpx.AsyncClient(trust_env=False) as client:
             with anyio.fail_after(READY_TIMEOUT_SECONDS):
@@ -239,7 +246,7 @@
             response.raise_for_status()
 
     def memory_mib(self, name: str) -> float:
-        """Return the resident memory of a process."""
+        """Return the resident memory of a process in MiB."""
         status = Path(f"/proc/{self.processes[name].pid}/status").read_text(encoding="utf-8")
         kib = next(line.split()[1] for line in status.splitlines() if line.startswith("VmRSS"))
         return int(kib) / 1024
@@ -249,7 +256,10 @@
         os.kill(self.processes[name].pid, number)
 
     def stop(self) -> dict[str, int]:
-        """Stop the nodes in order, then everything else, by process id; return the nodes' exit codes."""
+        """Stop all processes by process id, nodes gracefully and first; return the exit codes of the nodes.
+
+        A node that does not stop within ``STOP_TIMEOUT_SECONDS`` is killed.
+        """
         node_names = [name for name in self.processes if name.startswith("node-")]
         codes: dict[str, int] = {}
         for name in node_names:
@@ -268,7 +278,7 @@
         return codes
 
     def emulator(self, name: str, command: str, **flags: object) -> None:
-        """Start a command of the emulator as a process."""
+        """Start a command of ``worksramp-emulator`` as a process."""
         arguments = [f"--{flag}={value}" for flag, value in flags.items()]
         self._start(name, [str(BIN / "worksramp-emulator"), command, *arguments])
 
