--- a/scripts/faults.py
+++ b/scripts/faults.py
@@ -1,6 +1,6 @@
-"""Kills, pauses and stops real nodes under load, and checks what came out.
+"""Kill, pause and stop real nodes under load, and check the results.
 
-The same checks as in the demo, with generous bounds. Exit status 0 only if all hold.
+The checks are those of the demo, with generous bounds. The exit status is 0 only if all hold.
 """
 
 import signal
@@ -22,8 +22,8 @@
 BETWEEN_SECONDS = 6.0
 
 
-async def trouble(deployment: Deployment) -> None:
-    """Kill one node, pause another, stop the third in order; each comes back."""
+async def inject_faults(deployment: Deployment) -> None:
+    """Kill one node, pause another and stop the third gracefully; each is started or continued again."""
     await anyio.sleep(BETWEEN_SECONDS)
     deployment.signal("node-0", signal.SIGKILL)
     deployment.processes["node-0"].wait()
@@ -43,7 +43,7 @@
 
 
 async def run_faults() -> Summary:
-    """Run the Litoral example under trouble."""
+    """Run the Litoral example while faults are injected, and return the summary."""
     summary = Summary("litoral, with nodes killed, paused and stopped")
     deployment = Deployment.plan("litoral", RUN_DIRECTORY / "faults")
     try:
@@ -54,30 +54,30 @@
             await deployment.wait_ready(index)
         await deployment.configure()
         await wait_routable(deployment)
-        await exercise(deployment, summary)
+        await run_workload(deployment, summary)
     finally:
         deployment.stop()
     return summary
 
 
-async def exercise(deployment: Deployment, summary: Summary) -> None:
-    """Run trainer, live and keyed traffic through the trouble, then check."""
+async def run_workload(deployment: Deployment, summary: Summary) -> None:
+    """Run a trainer, live and keyed requests during the faults, and add the checks to the summary."""
     job = next(iter(deployment.example.prompt_files))
     file = deployment.start_trainer(job, NUM_STEPS, TRAIN_SECONDS)
     target = LoadTarget(tuple(deployment.nodes), API_KEYS["caller"], deployment.example.model)
     async with anyio.create_task_group() as group:
-        group.start_soon(trouble, deployment)
+        group.start_soon(inject_faults, deployment)
         live = await run_completions(target, NUM_LIVE_REQUESTS, LIVE_CONCURRENCY)
         application = deployment.example.application
         keyed = await run_keyed_calls(
             tuple(deployment.nodes), API_KEYS["caller"], application, NUM_KEYED_REQUESTS
         )
     await wait_process(deployment, f"trainer-{job}")
-    summary.figure("live requests answered", f"{len(live.seconds)} of {NUM_LIVE_REQUESTS}")
-    summary.check("live answers not whole or another's", live.num_wrong, live.num_wrong == 0)
+    summary.info("live requests answered", f"{len(live.seconds)} of {NUM_LIVE_REQUESTS}")
+    summary.check("live answers incomplete or of another request", live.num_wrong, live.num_wrong == 0)
     runs = await count_runs(deployment.applications)
     num_completed = sum(1 for outcome in keyed.outcomes.values() if outcome == "completed")
-    summary.figure("keyed requests completed", f"{num_completed} of {NUM_KEYED_REQUESTS}")
+    summary.info("keyed requests completed", f"{num_completed} of {NUM_KEYED_REQUESTS}")
     num_twice = sum(1 for count in runs.values() if count > 1)
     summary.check("keyed requests run twice", num_twice, num_twice == 0)
     summary.check("completed keyed requests that ran", len(runs), len(runs) >= num_completed)
@@ -85,7 +85,7 @@
 
 
 async def main() -> bool:
-    """Run and print."""
+    """Run the deployment, print the summary and return whether all checks hold."""
     summary = await run_faults()
     summary.print()
     return summary.is_good
