--- a/src/worksramp_emulator/batch_fleet.py
+++ b/src/worksramp_emulator/batch_fleet.py
@@ -84,7 +84,7 @@
 
     Attributes:
         seconds_per_event: time between two events of a run.
-        is_unresponsive: whether it answers nothing; its runs make no progress meanwhile.
+        is_unresponsive: whether it answers nothing; its items and scoring calls make no progress meanwhile.
         is_gone: whether it has ended, and its connections are broken.
         is_scorer: whether it answers scoring calls instead of running items.
         is_application: whether it answers live requests instead of running items.
@@ -131,7 +131,7 @@
         self.emitted_versions: dict[tuple[str, int], set[int]] = {}
         self.emitted_at: dict[tuple[str, int], list[tuple[float, int]]] = {}
         self.application = ApplicationRecord()
-        #: The machine of an ended worker is gone too, so that connection attempts get no answer.
+        #: Whether the machines of ended workers are gone too, so that connection attempts get no answer.
         self.are_ended_workers_silent = False
         self.rng = rng
         self._background = background
