--- a/src/worksramp_emulator/simulation/batch_checkers.py
+++ b/src/worksramp_emulator/simulation/batch_checkers.py
@@ -5,7 +5,7 @@
 
 from worksramp.rollout.batches import BatchResult, ResultRecord
 from worksramp.wire import decode
-from worksramp_emulator.batch_fleet import num_events_of, whole_text
+from worksramp_emulator.batch_fleet import complete_text, num_events_of
 from worksramp_emulator.simulation.batch_world import BatchWorld, StepRecord, scoring_call_id
 
 #: Time after the end of a batch during which its items and scoring calls may still reach a worker.
@@ -73,7 +73,7 @@
             found.append(f"{step.batch_id} lists {result.item_id} of another batch")
         if not result.is_completed:
             continue
-        if result.text != whole_text(result.item_id):
+        if result.text != complete_text(result.item_id):
             found.append(
                 f"{step.batch_id}/{position}: text of {result.item_id} is not complete: {result.text}"
             )
@@ -82,7 +82,7 @@
         if world.spec.needs_one_version and len(result.versions) != 1:
             found.append(f"{step.batch_id}/{position}: versions {result.versions} instead of one")
         made = [
-            world.fleet.made_versions.get((result.item_id, number), set())
+            world.fleet.emitted_versions.get((result.item_id, number), set())
             for number in range(num_events_of(result.item_id))
         ]
         if any(not versions & set(result.versions) for versions in made):
@@ -100,7 +100,7 @@
     Args:
         versions: weight versions that count, None for any.
     """
-    made = world.fleet.made_at.get((item_id, num_events_of(item_id) - 1), [])
+    made = world.fleet.emitted_at.get((item_id, num_events_of(item_id) - 1), [])
     return min((at for at, version in made if versions is None or version in versions), default=float("inf"))
 
 
--- a/src/worksramp_emulator/simulation/batch_world.py
+++ b/src/worksramp_emulator/simulation/batch_world.py
@@ -229,7 +229,7 @@
         Connections to the previous process are not closed; they receive no more data.
         """
         previous = self.fleet.workers[worker_id]
-        previous.is_dark = True
+        previous.is_unresponsive = True
         started_ms = previous.entry.started_ms + 1 + int(1000 * anyio.current_time())
         entry = replace(previous.entry, started_ms=started_ms, model_versions=dict(previous.versions))
         self.fleet.add(FleetWorker(entry, versions=dict(previous.versions)))
--- a/src/worksramp_emulator/simulation/live_checkers.py
+++ b/src/worksramp_emulator/simulation/live_checkers.py
@@ -17,7 +17,7 @@
     """Check that a request reaches at most ``MAX_LATE_RUNS`` more workers after it has crashed three."""
     record = world.fleet.application
     found: list[str] = []
-    for target in sorted(record.killing_targets):
+    for target in sorted(record.crashing_targets):
         crashed = sorted(crash.at for crash in record.crashes if crash.target == target)
         if len(crashed) < MAX_CRASHES:
             continue
@@ -37,7 +37,7 @@
 
 def check_false_quarantines(world: LiveWorld) -> list[str]:
     """Check that no request is quarantined that crashes no worker itself."""
-    killing = world.fleet.application.killing_targets
+    killing = world.fleet.application.crashing_targets
     harmless = [attempt for attempt in world.attempts if attempt.target not in killing]
     refused = [attempt for attempt in harmless if attempt.outcome == QUARANTINED]
     if not refused:
--- a/src/worksramp_emulator/simulation/live_world.py
+++ b/src/worksramp_emulator/simulation/live_world.py
@@ -160,7 +160,7 @@
 
     async def send_repeatedly(self, target: bytes, num_times: int, pause_s: float) -> None:
         """As one caller, send a request several times that crashes each worker that runs it."""
-        self.fleet.application.killing_targets.add(target)
+        self.fleet.application.crashing_targets.add(target)
         for _ in range(num_times):
             await self.call(target)
             await anyio.sleep(pause_s)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -87,7 +87,7 @@
 def test_reading_a_removed_offset_returns_the_first_kept_one() -> None:
     async def scenario(log: StoreLog, app: StoreApp) -> None:
         await log.append(PARTITION, RECORDS)
-        app.store.forget_records(PARTITION)
+        app.store.apply_retention(PARTITION)
         assert await log.read(PARTITION, 1, 0.0) == RecordsGone(3)
 
     with_store(scenario)
