--- a/src/worksramp/edge/asgi.py
+++ b/src/worksramp/edge/asgi.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A complete HTTP response."""
 
     status: int
@@ -39,14 +39,14 @@
     body: bytes = b""
 
 
-def json_answer(status: int, value: Any, headers: Headers | None = None) -> Answer:
+def json_response(status: int, value: Any, headers: Headers | None = None) -> Response:
     """Return a response with a JSON body.
 
     Args:
         value: value to encode.
         headers: further headers.
     """
-    return Answer(status, [(CONTENT_TYPE, JSON_TYPE), *(headers or [])], msgspec.json.encode(value))
+    return Response(status, [(CONTENT_TYPE, JSON_TYPE), *(headers or [])], msgspec.json.encode(value))
 
 
 async def read_body(receive: Receive, max_bytes: int, part_timeout_seconds: float = math.inf) -> bytes:
@@ -86,12 +86,12 @@
         await anyio.lowlevel.checkpoint()
 
 
-async def send_answer(send: Send, answer: Answer) -> None:
+async def send_response(send: Send, response: Response) -> None:
     """Send a complete response, with its content length."""
-    headers = [pair for pair in answer.headers if pair[0] != b"content-length"]
-    headers.append((b"content-length", str(len(answer.body)).encode()))
-    await send({"type": "http.response.start", "status": answer.status, "headers": headers})
-    await send({"type": "http.response.body", "body": answer.body, "more_body": False})
+    headers = [pair for pair in response.headers if pair[0] != b"content-length"]
+    headers.append((b"content-length", str(len(response.body)).encode()))
+    await send({"type": "http.response.start", "status": response.status, "headers": headers})
+    await send({"type": "http.response.body", "body": response.body, "more_body": False})
 
 
 async def send_stream(send: Send, status: int, headers: Headers, chunks: AsyncIterator[bytes]) -> None:
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -21,7 +21,7 @@
     Partition,
     StoredRecord,
 )
-from worksramp.edge.asgi import Receive, Scope, Send, json_answer, read_body, send_answer, send_stream
+from worksramp.edge.asgi import Receive, Scope, Send, json_response, read_body, send_response, send_stream
 from worksramp.routing.worker_port import (
     OrderHeldAlready,
     OrderTaken,
@@ -135,11 +135,11 @@
         headers = {key.decode().lower(): value.decode() for key, value in scope["headers"]}
         body = await read_body(receive, MAX_BODY)
         if headers.get("x-worksramp-expect-instance") != self._worker.entry.worker_id:
-            await send_answer(send, json_answer(421, {}))
+            await send_response(send, json_response(421, {}))
         elif scope["path"] == "/api/report":
-            await send_answer(send, json_answer(200, self._report()))
+            await send_response(send, json_response(200, self._report()))
         elif scope["path"] == "/api/order":
-            await send_answer(send, json_answer(self._order(json.loads(body)), {}))
+            await send_response(send, json_response(self._order(json.loads(body)), {}))
         else:
             self.seen.append({**headers, "path": scope["raw_path"].decode(), "body": body.hex()})
             await self._run(headers, send)
@@ -176,6 +176,6 @@
                 (b"x-worksramp-weight-versions", str(answer.weight_version).encode()),
             ]
             if answer.is_not_run:
-                await send_answer(send, json_answer(503, {}, [(b"x-worksramp-not-executed", b"1")]))
+                await send_response(send, json_response(503, {}, [(b"x-worksramp-not-executed", b"1")]))
                 return
             await send_stream(send, answer.status, head, answer.body)
