--- a/src/worksramp/weights/model_homes.py
+++ b/src/worksramp/weights/model_homes.py
@@ -14,9 +14,9 @@
 
 #: Factor on the slots that a step needs at once, so that a run that moves to another worker finds a slot.
 SLOT_HEADROOM = 1.15
-#: Workers differ in seconds per event, and the longest items need the fast ones. With three homes on five
-#: workers, a fault-free day of two trainers lost a step (worth 0.64 instead of 0.86); with all five it lost
-#: none.
+#: Workers differ in seconds per event, and the longest items need the fast ones. In simulated runs of two
+#: trainers on five workers without faults, three homes for each model lost a step (value of the run 0.64
+#: instead of 0.86), and five homes lost none.
 MIN_HOMES = 6
 
 
--- a/src/worksramp/weights/version_moves.py
+++ b/src/worksramp/weights/version_moves.py
@@ -12,8 +12,8 @@
 
 from worksramp.mechanisms import mechanism
 
-#: Concurrent loads as a share of the fleet. Beyond it (2 of 5 and 6 workers, 10 of 24), each load took longer
-#: in the measured deployments.
+#: Concurrent loads as a share of the fleet. With more loads than that (2 on 5 and 6 workers, 10 on 24), each
+#: load takes longer.
 MAX_LOADING_SHARE = 0.4
 MIN_MAX_LOADING = 2
 
