--- a/src/worksramp_emulator/application.py
+++ b/src/worksramp_emulator/application.py
@@ -12,7 +12,7 @@
 
 #: Service time of an ordinary request, that of the application workers on the prepared machines.
 SERVICE_S = 0.0375
-#: Time from the start of a crashing request to the crash of its worker, as observed on the prepared machines.
+#: Time from the start of a crashing request to the crash of its worker, as on the prepared machines.
 CRASH_S = 0.08
 #: Interval at which a run checks whether its worker has ended or its connection is broken.
 TICK_S = 0.0025
--- a/src/worksramp_emulator/baselines.py
+++ b/src/worksramp_emulator/baselines.py
@@ -82,7 +82,7 @@
         self.live_seconds.append(anyio.current_time() - started_at)
 
     def sample_request(self, index: int, attempt: int) -> GenerateRequest:
-        """Return the request for generate_sample sample."""
+        """Return the request for one sample."""
         prompt = sample_prompt(self.spec.group_size, index)
         seed = self.seed * 1_000_003 + index
         request_id = f"sample-{index}-{attempt}"
@@ -199,6 +199,6 @@
 
 
 async def run_live_only(baseline: Baseline) -> None:
-    """Serve only live traffic, for the time that the training steps record_delivery."""
+    """Serve only live traffic, for as long as the training steps take."""
     baseline.idle_seconds = 1.0
     await anyio.sleep(baseline.spec.num_steps * baseline.spec.train_seconds)
--- a/src/worksramp_emulator/load.py
+++ b/src/worksramp_emulator/load.py
@@ -1,4 +1,4 @@
-"""Load generator: sends live completions and keyed calls to gateways, and checks or records the answers."""
+"""Load generator: sends live completions and keyed calls to gateways, and checks or records the responses."""
 
 import secrets
 import time
@@ -37,9 +37,9 @@
     """Results of the completions of a load run.
 
     Attributes:
-        seconds: latency of each answer with status 200.
-        num_wrong: answers with status 200 whose text was not the complete text for their request.
-        refusals: bodies of answers with another status, and descriptions of transport errors.
+        seconds: latency of each response with status 200.
+        num_wrong: responses with status 200 whose text was not the complete text for their request.
+        refusals: bodies of responses with another status, and descriptions of transport errors.
     """
 
     seconds: list[float] = field(default_factory=list)
@@ -58,7 +58,7 @@
 
 
 async def run_completions(target: LoadTarget, num_requests: int, concurrency: int) -> LoadRecord:
-    """Send completions that are not streamed, round robin to the gateways, and check each answer's text.
+    """Send completions that are not streamed, round robin to the gateways, and check each response's text.
 
     Args:
         concurrency: maximum number of requests in flight.
@@ -108,7 +108,7 @@
     """Outcomes of the keyed requests of a load run.
 
     Attributes:
-        outcomes: ``completed`` where an answer had status 200, otherwise the first error, by idempotency key.
+        outcomes: ``completed`` if a response had status 200, otherwise the first error, by idempotency key.
     """
 
     outcomes: dict[str, str] = field(default_factory=dict)
--- a/src/worksramp_emulator/simulation/live_checkers.py
+++ b/src/worksramp_emulator/simulation/live_checkers.py
@@ -9,7 +9,7 @@
 MAX_CRASHES = 3
 #: Runs tolerated after that at nodes that had time to receive the crash records.
 MAX_LATE_RUNS = 3
-#: Outcome of an attempt that was refused because its request is quarantined.
+#: Outcome of a submission that was refused because its request is quarantined.
 QUARANTINED = "Quarantined"
 
 
@@ -37,10 +37,10 @@
 
 def check_false_quarantines(world: LiveWorld) -> list[str]:
     """Check that no request is quarantined that crashes no worker itself."""
-    killing = world.fleet.application.crashing_targets
-    harmless = [attempt for attempt in world.attempts if attempt.target not in killing]
-    refused = [attempt for attempt in harmless if attempt.outcome == QUARANTINED]
+    crashing = world.fleet.application.crashing_targets
+    harmless = [submission for submission in world.submissions if submission.target not in crashing]
+    refused = [submission for submission in harmless if submission.outcome == QUARANTINED]
     if not refused:
         return []
     first = refused[0].target.decode()
-    return [f"{len(refused)} of {len(harmless)} attempts of harmless requests were refused, first {first}"]
+    return [f"{len(refused)} of {len(harmless)} submissions of harmless requests were refused, first {first}"]
--- a/src/worksramp_emulator/simulation/live_world.py
+++ b/src/worksramp_emulator/simulation/live_world.py
@@ -22,7 +22,7 @@
 NUM_SLOTS = 6
 #: Time from the crash of a worker until its entry expires: three heartbeats.
 ENTRY_EXPIRY_S = 2.6
-#: Time from the crash of a worker until it is running again, as measured on the prepared machines.
+#: Time from the crash of a worker until it is running again, as on the prepared machines.
 RESTART_S = 3.1
 DEADLINE_S = 2.0
 OBJECTIVE_S = 0.192
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LiveAttempt:
-    """One attempt of a caller.
+class LiveSubmission:
+    """One submission of a request by a caller.
 
     Attributes:
         outcome: class name of the outcome that the node returned.
@@ -67,7 +67,7 @@
         self, num_application_workers: int, num_nodes: int, seed: int, group: anyio.abc.TaskGroup
     ) -> None:
         super().__init__(BatchWorldSpec(num_nodes=num_nodes, num_workers=0), seed, group)
-        self.attempts: list[LiveAttempt] = []
+        self.submissions: list[LiveSubmission] = []
         self.disturbances: list[Disturbance] = []
         self.traffic_rng = random.Random(seed)
         self._num_application_workers = num_application_workers
@@ -127,19 +127,19 @@
 
     # Callers.
 
-    async def call(self, target: bytes, num_attempts: int = 2) -> bool:
-        """Send a request to random nodes until it is served or its attempts are used up.
+    async def call(self, target: bytes, num_submissions: int = 2) -> bool:
+        """Send a request to random nodes until it is served, at most ``num_submissions`` times.
 
         Returns:
             Whether it was served.
         """
-        for _ in range(num_attempts):
-            if await self._attempt(target):
+        for _ in range(num_submissions):
+            if await self._submit_live(target):
                 return True
             await anyio.sleep(CALLER_PAUSE_S)
         return False
 
-    async def _attempt(self, target: bytes) -> bool:
+    async def _submit_live(self, target: bytes) -> bool:
         ready = [slot for slot in self.slots if slot.node is not None and slot.node.is_ready]
         if not ready:
             return False
@@ -155,7 +155,7 @@
         async with AsyncExitStack() as stack:
             outcome = await node.forwarder.forward(request, route, stack)
         is_served = isinstance(outcome, WholeAnswer) and outcome.status == 200
-        self.attempts.append(LiveAttempt(now, slot.name, target, type(outcome).__name__, is_served))
+        self.submissions.append(LiveSubmission(now, slot.name, target, type(outcome).__name__, is_served))
         return is_served
 
     async def send_repeatedly(self, target: bytes, num_times: int, pause_s: float) -> None:
--- a/src/worksramp_emulator/simulation/runner.py
+++ b/src/worksramp_emulator/simulation/runner.py
@@ -20,7 +20,7 @@
 KEYED_PERIOD_SECONDS = 1.0
 NUM_LIVE = 60
 NUM_KEYED = 25
-MAX_KEYED_ATTEMPTS = 4
+MAX_KEYED_SUBMISSIONS = 4
 KEYED_RETRY_SECONDS = 2.0
 
 
@@ -115,7 +115,7 @@
     body = b"%d" % number
     if number % 3 == 1:
         world.group.start_soon(world.ask_keyed, key, body)
-    for _ in range(MAX_KEYED_ATTEMPTS):
+    for _ in range(MAX_KEYED_SUBMISSIONS):
         outcome = await world.ask_keyed(key, body)
         if outcome != "not_run":
             break
--- a/src/worksramp_emulator/text.py
+++ b/src/worksramp_emulator/text.py
@@ -22,7 +22,7 @@
 def completion_length(prompt: str, seed: int, max_tokens: int) -> int:
     """Return the number of tokens of a completion, which has a log-normal distribution.
 
-    The distribution is log-normal since the brief reports a few samples that run far longer than the rest.
+    The distribution is log-normal since the users report that a few samples run far longer than the rest.
     The median and sigma are assumptions, and may be scaled by ``max_tokens``.
     """
     first = _hash_to_unit_interval(f"length-a|{prompt}|{seed}")
--- a/src/worksramp_emulator/trainer.py
+++ b/src/worksramp_emulator/trainer.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """Answer to a request for a batch: the batch, or None and the time after which to retry."""
+    """Result of a request for a batch: the batch, or None and the time after which to retry."""
 
     batch: DeliveredBatch | None
     retry_after_seconds: float = RETRY_SECONDS
@@ -94,5 +94,5 @@
 
 
 def decode_batch(body: bytes) -> DeliveredBatch:
-    """Decode a batch from the body of an answer of the trainers' API."""
+    """Decode a batch from the body of a response of the trainers' API."""
     return msgspec.json.decode(body, type=DeliveredBatch)
--- a/tests/steps/test_batches.py
+++ b/tests/steps/test_batches.py
@@ -199,10 +199,10 @@
     keys = world.store.newest_keys(world.records.batches)
     assert [key for key in keys if "batch0" in key or "s0g" in key] == []
     assert [key for key in keys if key == "owner"]
-    elsewhere = [world.records.progress, *world.records.values]
+    other_partitions = [world.records.progress, *world.records.values]
     assert [
         key
-        for partition in elsewhere
+        for partition in other_partitions
         for key in world.store.newest_keys(partition)
         if "batch0" in key or "s0g" in key
     ] == []
--- a/tests/steps/test_directed.py
+++ b/tests/steps/test_directed.py
@@ -217,7 +217,7 @@
 
 
 @then(parsers.parse("there are at most {share:g} tries a request"))
-def tries_bounded(plan: Plan, share: float) -> None:
+def attempts_bounded(plan: Plan, share: float) -> None:
     world = plan.run()
     answered = [event for event in world.history.events if isinstance(event, LiveAnswered)]
     assert plan.num_attempts <= share * len(answered)
