--- a/src/worksramp/edge/observed_log.py
+++ b/src/worksramp/edge/observed_log.py
@@ -33,7 +33,7 @@
 
         Args:
             outcome: result of the call, counted under its class name, or the name itself.
-            is_duration_recorded: whether the duration is recorded; those of failed calls and of reads that
+            is_duration_recorded: whether the duration is recorded; those of failed reads and of reads that
                 wait for records are not.
         """
         text = outcome if isinstance(outcome, str) else type(outcome).__name__
--- a/src/worksramp/edge/settings.py
+++ b/src/worksramp/edge/settings.py
@@ -21,7 +21,7 @@
     Attributes:
         configuration_apply: time within which an accepted configuration is in force.
         grace: time after a stop signal at which the platform kills the process.
-        lease: time within which two nodes must not give orders to the same worker in turn.
+        lease: time within which two machines must not give orders to the same worker in turn.
         settle: time within which every node has an accepted batch or result.
         status: time for which results are kept.
         acknowledge: time within which a call about a batch is answered.
--- a/src/worksramp/edge/shard.py
+++ b/src/worksramp/edge/shard.py
@@ -62,7 +62,7 @@
         partition: partition of the shard.
         values: store of items and texts of batches.
         progress: store of the partial texts of items.
-        node: name of this node.
+        node: name of the machine.
         boot: random text that identifies this start of the process.
         times: times of the owner's lease.
         poll_seconds: longest wait of one poll of the log.
@@ -115,7 +115,7 @@
         replica: this node's replica of the partition.
         owner_record: newest owner's record, None before the first.
         owner_changed_at: time at which this node received that record, or finished loading the replica.
-        former_order_at: latest time at which another node can have given an order to a worker.
+        former_order_at: latest time at which another machine can have given an order to a worker.
     """
 
     context: ShardContext
@@ -261,7 +261,7 @@
         record = OwnerRecord(self.context.node, self.context.boot, epoch)
         if before is None:
             return record
-        # The last order may be this node's own. Its time is not kept, so others must assume that it was
+        # The last order may be this machine's own. Its time is not kept, so others must assume that it was
         # given just now.
         age_s = now - self.former_order_at if math.isfinite(self.former_order_at) else 0.0
         return msgspec.structs.replace(
--- a/src/worksramp/step_report.py
+++ b/src/worksramp/step_report.py
@@ -62,7 +62,7 @@
     ends: dict[str, ItemEnd] = field(default_factory=dict)
 
     def groups(self) -> dict[str, ItemEnd]:
-        """Return the last listed item of each group, by group."""
+        """Return the last item of each group, by group; an item that was never listed counts as the last."""
         last: dict[str, ItemEnd] = {}
         for end in self.ends.values():
             if end.group not in last or end.age_s > last[end.group].age_s:
--- a/src/worksramp/weights/version_mover.py
+++ b/src/worksramp/weights/version_mover.py
@@ -50,7 +50,7 @@
         table: returns the configuration in force, or None before the first.
         may_order: returns whether the lease allows an order now.
         announce_order: records in the log that an order will be given, and returns after that.
-        holder: name of this node.
+        holder: name of this machine.
         fence: epoch of the lease.
         max_loading: workers that may load at the same time, None for a share of the fleet.
     """
