--- a/src/worksramp/coordination/configuration_service.py
+++ b/src/worksramp/coordination/configuration_service.py
@@ -24,7 +24,7 @@
 from worksramp.coordination.membership import Membership
 from worksramp.coordination.membership_messages import Member
 from worksramp.coordination.peers import PeerCaller
-from worksramp.coordination.replication import StagedRecords, num_answers_needed, num_copies_needed
+from worksramp.coordination.replication import StagedRecords, num_copies_needed, num_replies_needed
 from worksramp.outcomes import StepError
 from worksramp.transport.messages import (
     ConfigurationHeld,
@@ -128,7 +128,7 @@
         return ConfigurationRecords(snapshot.next_offset, records, encoded, self.is_ready)
 
     async def pull_from(self, address: str) -> bool:
-        """Fetch the records that a peer holds and this node lacks; return whether a ready peer answered."""
+        """Fetch the records that a peer holds and this node lacks; return whether a ready peer replied."""
         request = PullConfiguration(self.held_offset)
         try:
             reply = await self._peers.call(address, request, PULL_TIMEOUT_SECONDS)
@@ -194,16 +194,16 @@
             logger.info("configuration_ready", source=source, offset=self.fold.next_offset)
 
     async def _start_from_peers(self) -> None:
-        """Become ready once enough peers have answered, unless the log makes this node ready first."""
-        answered: set[str] = set()
+        """Become ready once enough peers have replied, unless the log makes this node ready first."""
+        replied: set[str] = set()
         while not self.is_ready:
             await anyio.sleep(RETRY_PAUSE_SECONDS)
             others = self._peers.live_peers()
             for member in others:
-                if member.instance_id not in answered and await self.pull_from(member.address):
-                    answered.add(member.instance_id)
-            num_answered = sum(1 for member in others if member.instance_id in answered)
-            if others and num_answered >= num_answers_needed(len(others)):
+                if member.instance_id not in replied and await self.pull_from(member.address):
+                    replied.add(member.instance_id)
+            num_replied = sum(1 for member in others if member.instance_id in replied)
+            if others and num_replied >= num_replies_needed(len(others)):
                 await self._become_ready("peers")
 
     async def _replicate(self) -> None:
@@ -223,7 +223,7 @@
         peers = self._peers.live_peers()
         self._rng.shuffle(peers)
         chosen = peers[:PUSH_FANOUT]
-        has_answer = [False]
+        has_reply = [False]
 
         async def push(member: Member) -> None:
             start = self.fold.next_offset
@@ -234,12 +234,12 @@
                 return
             if isinstance(reply, ConfigurationHeld):
                 self._staged.note_held(member.instance_id, reply.next_offset)
-                has_answer[0] = True
+                has_reply[0] = True
 
         async with anyio.create_task_group() as group:
             for member in chosen:
                 group.start_soon(push, member)
-        if chosen and not has_answer[0]:
+        if chosen and not has_reply[0]:
             await anyio.sleep(RETRY_PAUSE_SECONDS)
 
     def _apply_replicated(self) -> None:
--- a/src/worksramp/coordination/fenced_writer.py
+++ b/src/worksramp/coordination/fenced_writer.py
@@ -185,13 +185,13 @@
     async def _append_until_known(self, batch: tuple[KeyedRecord, ...]) -> int:
         fence = Fence(OWNER_PRODUCER, self._owner.epoch, self._sequence)
         pause = RETRY_PAUSE_SECONDS
-        try_timeout = FIRST_TRY_SECONDS
+        try_timeout_seconds = FIRST_TRY_SECONDS
         while True:
             started = self._clock()
-            outcome: AppendOutcome = OutcomeOpen(f"no answer within {try_timeout} s")
-            with anyio.move_on_after(try_timeout):
+            outcome: AppendOutcome = OutcomeOpen(f"no answer within {try_timeout_seconds} s")
+            with anyio.move_on_after(try_timeout_seconds):
                 outcome = await self._log.append(self._partition, batch, fence=fence)
-            try_timeout *= 2
+            try_timeout_seconds *= 2
             if isinstance(outcome, Appended):
                 self._renewed_at = started
                 return outcome.end
--- a/src/worksramp/coordination/ledger.py
+++ b/src/worksramp/coordination/ledger.py
@@ -39,7 +39,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, tag="result"):
-    """The backend answered."""
+    """The back end answered."""
 
     key: str
     status: int
@@ -47,13 +47,13 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag="refusal"):
-    """The backend certainly did not start the request; the key may be used for another attempt."""
+    """The back end certainly did not start the request; the key may be used for a retry."""
 
     key: str
 
 
 class Doubt(msgspec.Struct, frozen=True, tag="doubt"):
-    """The backend may have run the request; its answer was lost."""
+    """The back end may have run the request; its answer was lost."""
 
     key: str
 
@@ -146,10 +146,10 @@
 
     def _apply_intent(self, epoch: int, intent: Intent) -> str | None:
         if (key_time_ms(_uuid_part(intent.key)) or 0) < self.horizon_ms:
-            return "key is older than the retention horizon"
+            return "key is older than the ledger remembers"
         row = self.rows.get(intent.key)
         if row is not None and row.phase is not Phase.NOT_RUN:
-            return f"key is already {row.phase.value}"
+            return f"key is {row.phase.value} already"
         if row is not None and row.request_digest != intent.request_digest:
             return "key was used with another request"
         self.rows[intent.key] = LedgerRow(Phase.INTENT, epoch, intent.request_digest)
--- a/src/worksramp/coordination/ledger_service.py
+++ b/src/worksramp/coordination/ledger_service.py
@@ -77,7 +77,7 @@
 
     Args:
         replica: the shard's stream, owned by this node.
-        dispatch: sends a request to a backend once, without retries.
+        dispatch: sends a request to a back end once, without retries.
         background: outlives this service, so that a handover does not abort a request in progress.
         wall_clock_ms: returns Unix time in milliseconds; used only to expire old rows.
     """
@@ -107,7 +107,7 @@
                 continue
 
     async def handle(self, request: NodeRequest) -> NodeReply:
-        """Answer `ExecuteOnce`; while draining, answer that this node is not the owner."""
+        """Reply to `ExecuteOnce`; while draining, reply that this node is not the owner."""
         if not isinstance(request, ExecuteOnce) or self._is_draining:
             return NotOwner()
         return to_execute_reply(await self.execute(request))
@@ -170,10 +170,10 @@
         """Commit the intent; return None if the request may now be dispatched, else its outcome."""
         digest = running.digest
         intent = encode_entry(Intent(request.key, digest))
-        commit_timeout = request.deadline_seconds * COMMIT_SHARE_OF_DEADLINE
+        commit_timeout_seconds = request.deadline_seconds * COMMIT_SHARE_OF_DEADLINE
         stream = self._replica.stream
         try:
-            verdict = await self._replica.commit(intent, commit_timeout)
+            verdict = await self._replica.commit(intent, commit_timeout_seconds)
         except NotStartedError as error:
             return NotRun(error.step, error.peer, error.reason, RETRY_AFTER_SECONDS)
         if isinstance(verdict, Unresolved):
@@ -220,4 +220,4 @@
         case Phase.NOT_RUN:
             return None
         case Phase.UNKNOWN | Phase.INTENT:
-            return OutcomeUnknown("ledger.lookup", "", f"an earlier attempt is {row.phase.value}")
+            return OutcomeUnknown("ledger.lookup", "", f"an earlier try is {row.phase.value}")
--- a/src/worksramp/coordination/log_lease.py
+++ b/src/worksramp/coordination/log_lease.py
@@ -13,7 +13,7 @@
 
 OWNER_KEY = "owner"
 OWNER_PRODUCER = "owner"
-#: Machines with at least this many cores draw their claim delay from the same range.
+#: Machines with at least this many cores choose their claim delay at random from the same range.
 LARGE_MACHINE_CORES = 2.0
 SMALL_MACHINE_DELAY_SECONDS = 0.3
 CLAIM_SPREAD_SECONDS = 0.2
@@ -112,7 +112,7 @@
 
 
 def claim_delay_range(num_cores: float) -> tuple[float, float]:
-    """Return the range, in seconds, from which a node draws its delay before a claim.
+    """Return the range, in seconds, from which a node chooses at random its delay before a claim.
 
     An owner runs all items of its shard, so machines with less processor time wait longer and leave the claim
     to larger ones.
@@ -120,8 +120,8 @@
     Args:
         num_cores: processor time of this machine, in cores.
     """
-    min_delay = SMALL_MACHINE_DELAY_SECONDS * max(0.0, 1.0 - num_cores / LARGE_MACHINE_CORES)
-    return (min_delay, min_delay + CLAIM_SPREAD_SECONDS)
+    min_delay_seconds = SMALL_MACHINE_DELAY_SECONDS * max(0.0, 1.0 - num_cores / LARGE_MACHINE_CORES)
+    return (min_delay_seconds, min_delay_seconds + CLAIM_SPREAD_SECONDS)
 
 
 def decide_claim(view: LeaseView, times: LeaseTimes, now: float) -> ClaimLease | DeferClaim:
--- a/src/worksramp/coordination/membership.py
+++ b/src/worksramp/coordination/membership.py
@@ -295,7 +295,7 @@
     def _next_target(self) -> Member | None:
         """Return the next member to probe, None without members.
 
-        The order is random and drawn anew each round, so that each member is probed within bounded time.
+        The order is random and chosen anew each round, so that each member is probed within bounded time.
         """
         while True:
             if not self._probe_order:
--- a/src/worksramp/coordination/membership_messages.py
+++ b/src/worksramp/coordination/membership_messages.py
@@ -47,7 +47,7 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer to a probe; ``subject`` is the member that was probed and answered."""
+    """Reply to a probe; ``subject`` is the member that was probed and answered."""
 
     sequence: int
     sender: str
@@ -72,7 +72,7 @@
 
 
 class Table(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Answer to a join, in parts small enough for a datagram."""
+    """Reply to a join, in parts small enough for a datagram."""
 
     members: tuple[Member, ...]
     configuration_offset: int
--- a/src/worksramp/coordination/peers.py
+++ b/src/worksramp/coordination/peers.py
@@ -65,7 +65,7 @@
                 continue
             if not isinstance(reply, NotOwner):
                 return reply
-            failure = NotStartedError("peers.call_owner", address, f"the node does not own {shard}")
+            failure = NotStartedError("peers.call_owner", address, f"{shard} has no owner there")
             if reply.owner_address:
                 addresses.insert(0, reply.owner_address)
         raise failure
--- a/src/worksramp/coordination/replica.py
+++ b/src/worksramp/coordination/replica.py
@@ -181,7 +181,7 @@
             if was_queued:
                 self._queue.remove(pending)
         if was_queued:
-            raise NotStartedError("log.commit", self.stream, "time ran out before the entry was sent")
+            raise NotStartedError("log.commit", self.stream, "the log is too slow")
         return Unresolved(pending.wait)
 
     def _reason_to_refuse(self, should_wait_for_log: bool) -> str | None:
--- a/src/worksramp/coordination/replication.py
+++ b/src/worksramp/coordination/replication.py
@@ -2,7 +2,7 @@
 
 A node that serves a revision and then restarts without its state must not serve an older one while the log is
 unavailable. So a record is applied once `NUM_COPIES` live nodes hold it (all of them, if fewer are live). A
-starting node that cannot read the log waits for answers from all live nodes but ``NUM_COPIES - 1``, so that
+starting node that cannot read the log waits for replies from all live nodes but ``NUM_COPIES - 1``, so that
 at least one holder of every applied record is among them.
 
 See Also:
@@ -17,8 +17,8 @@
     return max(1, min(NUM_COPIES, num_live))
 
 
-def num_answers_needed(num_live_others: int) -> int:
-    """Return how many other ready nodes must answer a starting node while the log is unavailable."""
+def num_replies_needed(num_live_others: int) -> int:
+    """Return how many other ready nodes must reply to a starting node while the log is unavailable."""
     return max(1, num_live_others - (NUM_COPIES - 1))
 
 
@@ -27,7 +27,8 @@
 
     Args:
         next_offset: first offset that is not held.
-        max_kept: number of records up to which those in force are kept, for peers that lag behind.
+        max_kept: number of records to keep for peers that lag behind; beyond it, the oldest records in force
+            are discarded.
     """
 
     def __init__(self, next_offset: int, max_kept: int) -> None:
--- a/src/worksramp/coordination/shard.py
+++ b/src/worksramp/coordination/shard.py
@@ -14,7 +14,7 @@
 
     @abstractmethod
     async def handle(self, request: NodeRequest) -> NodeReply:
-        """Answer one call about this shard."""
+        """Reply to one call about this shard."""
 
     @abstractmethod
     def figures(self) -> dict[str, int]:
--- a/src/worksramp/coordination/shared_log.py
+++ b/src/worksramp/coordination/shared_log.py
@@ -1,7 +1,7 @@
 """Interface to a shared log whose partitions keep the newest record of each key.
 
-The product uses the store that outlives its machines only through this interface. It is implemented by the
-adapter of a platform and, in memory, by the emulator.
+Nodes use the store, whose records survive the loss of their machines, only through this interface. It is
+implemented by the adapter of a platform and, in memory, by the emulator.
 """
 
 from abc import ABC, abstractmethod
--- a/src/worksramp/coordination/value_store.py
+++ b/src/worksramp/coordination/value_store.py
@@ -152,7 +152,7 @@
         """Write records that may be stored twice without harm.
 
         Args:
-            timeout_s: time for each call to the log.
+            timeout_s: time for each call to the log, including its repetitions.
         """
         partition = self.partition_of(group)
         offsets: list[int] = []
@@ -181,7 +181,7 @@
         except LogUnavailableError as error:
             raise ValuesUnavailableError(error.step, str(partition), error.reason) from error
         if missing:
-            raise ValuesUnavailableError("newest", str(partition), f"no value of {min(missing)}")
+            raise ValuesUnavailableError("newest", str(partition), f"no {min(missing)}")
         return found
 
     async def _fetch_by_offset(
--- a/tests/unit/test_configuration.py
+++ b/tests/unit/test_configuration.py
@@ -5,7 +5,7 @@
 
 from worksramp.coordination.configuration import ConfigurationFold, Conflict, InForce, Invalid, Publish
 from worksramp.coordination.fold import Accepted, Void
-from worksramp.coordination.replication import StagedRecords, num_answers_needed, num_copies_needed
+from worksramp.coordination.replication import StagedRecords, num_copies_needed, num_replies_needed
 from worksramp.rollout.document import validate_document
 
 JOB = {
@@ -102,13 +102,14 @@
     assert validate_document(msgspec.json.encode(with_parameters())) is None
 
 
-def test_the_answers_to_a_starting_node_include_a_holder_of_each_applied_record() -> None:
-    # The holders of a record and the nodes that answer a starting node, of num_live - 1 others, must overlap.
+def test_the_replies_to_a_starting_node_include_a_holder_of_each_applied_record() -> None:
+    # The holders of a record and the nodes that reply to a starting node, of num_live - 1 others, must
+    # overlap.
     for num_live in range(2, 50):
         num_copies = num_copies_needed(num_live)
-        num_answers = num_answers_needed(num_live - 1)
+        num_replies = num_replies_needed(num_live - 1)
         num_holders_among_others = num_copies - 1
-        assert num_answers + num_holders_among_others >= num_live - 1 or num_holders_among_others == 0
+        assert num_replies + num_holders_among_others >= num_live - 1 or num_holders_among_others == 0
 
 
 def test_staged_records_have_no_gaps() -> None:
--- a/tests/unit/test_outages.py
+++ b/tests/unit/test_outages.py
@@ -11,7 +11,7 @@
 from worksramp_emulator.simulation.live_world import LiveWorld
 
 
-def play(seed: int, work: Callable[[BatchWorld], Awaitable[None]]) -> None:
+def simulate(seed: int, work: Callable[[BatchWorld], Awaitable[None]]) -> None:
     async def main() -> None:
         configure_logs("error")
         async with anyio.create_task_group() as group:
@@ -42,7 +42,7 @@
         await anyio.sleep(3.0)
         assert owner.node.shard.epoch == epoch
 
-    play(seed, work)
+    simulate(seed, work)
 
 
 def test_an_owner_that_died_during_an_outage_is_replaced_soon_after_it() -> None:
@@ -56,7 +56,7 @@
         with anyio.fail_after(2.0):
             assert await world.wait_owner() is not owner
 
-    play(1, work)
+    simulate(1, work)
 
 
 def usable(world: BatchWorld) -> list[int]:
@@ -88,7 +88,7 @@
             await anyio.sleep(0.1)
             assert usable(world) == [3] * 8
 
-    play(1, work)
+    simulate(1, work)
 
 
 def test_workers_that_do_not_come_back_are_removed_within_the_bound_of_draining_ones() -> None:
@@ -100,7 +100,7 @@
         await anyio.sleep(2.4)
         assert usable(world) == [0] * 8
 
-    play(1, work)
+    simulate(1, work)
 
 
 def test_an_entry_removed_without_an_outage_removes_the_worker() -> None:
@@ -109,14 +109,14 @@
         await anyio.sleep(0.3)
         assert usable(world) == [0] * 8
 
-    play(1, work)
+    simulate(1, work)
 
 
 def test_a_node_that_alone_is_partitioned_is_not_ready_once_it_refuses_batches() -> None:
     """A node that refuses batches must not stay ready.
 
-    It used to stay ready until its configuration was too old and the platform had asked twice more, and its
-    callers were refused for that time.
+    Otherwise its callers are refused until its configuration is too old and the platform has asked twice
+    more.
     """
 
     async def main() -> None:
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -17,7 +17,7 @@
 RENEWAL_S = 0.6
 
 
-def play(work: Callable[[BatchWorld], Awaitable[None]]) -> None:
+def simulate(work: Callable[[BatchWorld], Awaitable[None]]) -> None:
     async def main() -> None:
         configure_logs("error")
         async with anyio.create_task_group() as group:
@@ -44,7 +44,7 @@
         await anyio.sleep(RENEWAL_S)
         assert slot.node.shard.may_order()
 
-    play(work)
+    simulate(work)
 
 
 def test_a_node_that_resumes_is_not_ready_before_it_has_read() -> None:
@@ -57,7 +57,7 @@
         await anyio.sleep(POLL_S)
         assert slot.node.is_ready
 
-    play(work)
+    simulate(work)
 
 
 def test_the_elapsed_clock_advances_with_the_monotonic_one() -> None:
--- a/tests/unit/test_value_store.py
+++ b/tests/unit/test_value_store.py
@@ -24,7 +24,7 @@
 Work = Callable[[ValueStore, LogStore], Awaitable[None]]
 
 
-def play(work: Work) -> None:
+def simulate(work: Work) -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
             store = LogStore(random.Random(1), group)
@@ -52,7 +52,7 @@
         wanted = locations(["g/1"], first) + locations(["g/2", "g/3"], second)
         assert await values.fetch("g", wanted) == {"g/1": b"g/1", "g/2": b"g/2", "g/3": b"g/3"}
 
-    play(work)
+    simulate(work)
 
 
 def test_values_are_read_by_key_once_their_offsets_are_gone() -> None:
@@ -64,7 +64,7 @@
         assert sorted(await values.fetch("g", wanted)) == names
         assert list(await values.fetch("g", wanted[57:58])) == [names[57]]
 
-    play(work)
+    simulate(work)
 
 
 def test_a_missing_value_or_an_unavailable_store_is_an_error_and_never_a_partial_result() -> None:
@@ -77,7 +77,7 @@
             await values.fetch("g", wanted)
         assert await values.put("g", records("g/3"), 1.0) == NotStored("append at store: down", False)
 
-    play(work)
+    simulate(work)
 
 
 def test_a_lost_answer_costs_a_short_try_and_a_slow_store_still_succeeds() -> None:
@@ -89,7 +89,7 @@
         store.faults.answer_seconds = 0.5
         assert isinstance(await values.put("g", records("g/2"), 2.0), Stored)
 
-    play(work)
+    simulate(work)
 
 
 def test_calls_are_small_enough_for_the_log() -> None:
@@ -120,7 +120,7 @@
         keys = {record.key for record in value_tombstones(batch)}
         assert {record.key for record in written} <= keys
 
-    play(work)
+    simulate(work)
 
 
 def test_items_are_read_one_by_one_or_all_together() -> None:
@@ -134,4 +134,4 @@
         store.apply_retention(values.partition_of("b"))
         assert await batch_values.items(placed, [11]) == {11: items[11]}
 
-    play(work)
+    simulate(work)
