--- a/src/worksramp/rollout/item_runner.py
+++ b/src/worksramp/rollout/item_runner.py
@@ -175,7 +175,7 @@
     @_outcome_handlers.handler(RunNotBegun)
     def _handle_not_begun(self, outcome: RunNotBegun, work: ItemWork, run: Run, now: float) -> None:
         if outcome.is_gone:
-            self._context.directory.mark_leaving(run.worker_id)
+            self._context.directory.mark_draining(run.worker_id)
             return
         state = self._context.directory.get(run.worker_id)
         work.avoid(run.worker_id, now + AVOID_AFTER_REFUSAL_SECONDS)
--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -147,7 +147,7 @@
         for work in self._items.works.values():
             for call in work.scoring.calls:
                 num_calls[call.worker_id] = num_calls.get(call.worker_id, 0) + 1
-        suspects = self._failures.suspects(now)
+        suspects = self._failures.failing_workers(now)
         return [
             ScorerView(
                 worker_id=state.entry.worker_id,
@@ -249,7 +249,7 @@
     @_handlers.handler(ScoringNotRun)
     def _handle_not_run(self, outcome: ScoringNotRun, work: ItemWork, call: ScorerCall, now: float) -> None:
         if outcome.is_gone:
-            self._context.directory.mark_leaving(call.worker_id)
+            self._context.directory.mark_draining(call.worker_id)
             return
         work.scoring.last_resorts[call.worker_id] = now + AVOID_AFTER_REFUSAL_S
         state = self._context.directory.get(call.worker_id)
--- a/src/worksramp/rollout/open_items.py
+++ b/src/worksramp/rollout/open_items.py
@@ -103,7 +103,7 @@
             {model: self._model_work(model, of_model) for model, of_model in works.items()},
             num_runs,
             num_taken_slots,
-            self._pace.slow_workers(now) | self._failures.suspects(now),
+            self._pace.slow_workers(now) | self._failures.failing_workers(now),
         )
 
     def _model_work(self, model: str, works: list[ItemWork]) -> ModelWork:
@@ -119,7 +119,7 @@
         """Return items as scheduler input, without those that must still wait or have no route."""
         table = self._context.table.current
         items: list[WaitingItem] = []
-        failing = self._failures.suspects(now)
+        failing = self._failures.failing_workers(now)
         for work in works:
             if work.wait_until > now or table is None:
                 continue
@@ -152,7 +152,7 @@
         if table is None:
             return []
         load_by_worker = self._loads()
-        slow, failing = self._pace.last_known_slow(now), self._failures.suspects(now)
+        slow, failing = self._pace.last_known_slow(now), self._failures.failing_workers(now)
         return [
             self._worker_view(state, load_by_worker.get(state.entry.worker_id, _Load()), slow, failing, now)
             for service in table.services
--- a/src/worksramp/routing/attempts.py
+++ b/src/worksramp/routing/attempts.py
@@ -39,9 +39,9 @@
     """A caller's request with its complete body.
 
     Attributes:
-        request_id: ID set by the caller; a retry by the caller has another one.
+        request_id: id set by the caller; a retry by the caller has another one.
         deadline_at: when the caller stops waiting, on this node's clock.
-        resume_after: ID of the last event the caller has received, None for a new stream.
+        resume_after: id of the last event the caller has received, None for a new stream.
         fingerprint: digest that is the same for all retries of the request, at any node.
     """
 
@@ -60,7 +60,7 @@
         object.__setattr__(self, "fingerprint", fingerprint_of(self.method, host, self.target, self.body))
 
     def ends_at(self, route: Route) -> float:
-        """Return when this node must have sent its final answer, on its own clock."""
+        """Return when this node must have sent its final response, on its own clock."""
         if route.timeout_seconds is None:
             return self.deadline_at
         return min(self.deadline_at, self.received_at + route.timeout_seconds)
@@ -80,7 +80,7 @@
     """Attempts made so far for one request.
 
     Attributes:
-        tried: IDs of the workers that were chosen, in order.
+        tried: ids of the workers that were chosen, in order.
         num_refused_connections: how many of them refused the connection at once, so that nothing was sent.
         may_have_run: whether a worker may have run the request.
         last_reason: why the latest attempt failed.
@@ -110,7 +110,7 @@
 
     Args:
         rng: source of random choices.
-        node: ID of this node, from which its order of preference among workers is derived.
+        node: id of this node, from which its order of preference among workers is derived.
     """
 
     def __init__(self, directory: WorkerDirectory, rng: random.Random, node: str = "") -> None:
@@ -183,7 +183,7 @@
             )
             worker.load_reported_at = now
         if answer.is_other_worker:
-            self._directory.mark_leaving(worker.entry.worker_id)
+            self._directory.mark_draining(worker.entry.worker_id)
             history.last_reason = "other_worker"
             return True
         if not answer.is_not_run:
--- a/src/worksramp/routing/choice.py
+++ b/src/worksramp/routing/choice.py
@@ -27,7 +27,7 @@
     Attributes:
         prefix: beginning of the prompt; requests with the same prefix share a worker's prefix cache.
         zone: zone of the node, preferred at equal load.
-        excluded: IDs of machines that have already failed this request.
+        excluded: ids of machines that have already failed this request.
         min_weight_version: workers that report an older weight version are not used.
         reserved_share: share of each worker's slots that rollout must not use; 0 for live requests, which may
             use all slots.
--- a/src/worksramp/routing/crash_ledger.py
+++ b/src/worksramp/routing/crash_ledger.py
@@ -33,7 +33,7 @@
     """One request that one node had at a worker when the worker crashed.
 
     Attributes:
-        crash_id: ID of the crash, derived from the worker's start; the same at all nodes.
+        crash_id: id of the crash, derived from the worker's start; the same at all nodes.
         node: node that observed the broken connection.
         is_again: whether an earlier crash of a worker running the request was known when this run began.
     """
--- a/src/worksramp/routing/failure_tracker.py
+++ b/src/worksramp/routing/failure_tracker.py
@@ -47,8 +47,8 @@
         """Discard the outcomes of a worker that has restarted."""
         self._records.pop(worker_id, None)
 
-    def suspects(self, now: float) -> frozenset[str]:
-        """Return the IDs of workers that fail a large share of their work; others are used before them."""
+    def failing_workers(self, now: float) -> frozenset[str]:
+        """Return the ids of workers that fail a large share of their work; others are used before them."""
         for record in self._records.values():
             record.decay_to(now)
         return frozenset(worker_id for worker_id, record in self._records.items() if _is_failing(record))
--- a/src/worksramp/routing/fingerprint.py
+++ b/src/worksramp/routing/fingerprint.py
@@ -1,6 +1,6 @@
 """Identifies a request across retries, and a worker's crash across all nodes that observe it.
 
-The caller uses a new request ID for each retry. Retries of a request are recognised by what a worker is given
+The caller uses a new request id for each retry. Retries of a request are recognised by what a worker is given
 to run.
 """
 
@@ -24,7 +24,7 @@
 
 
 def crash_id_of(worker_id: str, started_ms: int) -> str:
-    """Return an ID for the crash of one start of a worker, as hex text that is valid in a log key."""
+    """Return an id for the crash of one start of a worker, as hex text that is valid in a log key."""
     return _digest_of(worker_id.encode(), str(started_ms).encode())
 
 
--- a/src/worksramp/routing/fleet_view.py
+++ b/src/worksramp/routing/fleet_view.py
@@ -27,9 +27,9 @@
 
     Attributes:
         models: open work by model.
-        num_runs: number of runs by worker ID and model.
-        num_taken_slots: number of runs of all models by worker ID.
-        slow_workers: IDs of workers that are much slower than the others now, or that fail part of their
+        num_runs: number of runs by worker id and model.
+        num_taken_slots: number of runs of all models by worker id.
+        slow_workers: ids of workers that are much slower than the others now, or that fail part of their
             work.
     """
 
@@ -43,7 +43,7 @@
     """Interface of the fleet's work that the version mover uses.
 
     Attributes:
-        loading: model that each loading worker loads, by worker ID.
+        loading: model that each loading worker loads, by worker id.
     """
 
     loading: dict[str, str]
--- a/src/worksramp/routing/generation.py
+++ b/src/worksramp/routing/generation.py
@@ -68,7 +68,7 @@
     policy: GenerationPolicy,
     budget: RetryBudget,
 ) -> AsyncGenerator[GenerationChunk, None]:
-    """Stream a complete completion, and resume it at another engine when one fails.
+    """Stream a completion, and resume it at another engine when one fails.
 
     Raises:
         NotStartedError: no engine began; nothing was yielded.
--- a/src/worksramp/routing/leases.py
+++ b/src/worksramp/routing/leases.py
@@ -80,7 +80,7 @@
     """One node's view of the workers of a group, which is a fleet or an application.
 
     Args:
-        node_id: ID of this node, from which its rank among the nodes that share a worker is derived.
+        node_id: id of this node, from which its rank among the nodes that share a worker is derived.
     """
 
     def __init__(self, node_id: str = "") -> None:
@@ -90,19 +90,19 @@
         self._reports: dict[str, _HeldReport] = {}
         self._in_flight: Counter[str] = Counter()
         self._rollout_in_flight: Counter[str] = Counter()
-        self._leaving: set[tuple[str, int]] = set()
+        self._draining: set[tuple[str, int]] = set()
         self._mean_own_live = 0.0
 
     def set_machines(self, machines: tuple[Machine, ...]) -> None:
         """Replace the machines by those of the machine list.
 
-        A machine that is marked as draining stays so for its incarnation. Reports of other machines are
-        discarded.
+        A machine that is marked as draining stays so for its incarnation. Reports of machines that are not on
+        the list are discarded.
         """
         self._machines = {machine.machine_id: machine for machine in machines}
         for machine in machines:
             if machine.is_leaving:
-                self.mark_leaving(machine.machine_id)
+                self.mark_draining(machine.machine_id)
         known = self._machines.keys()
         self._reports = {key: value for key, value in self._reports.items() if key in known}
 
@@ -123,13 +123,13 @@
         num_own_live = self._in_flight.total() - self._rollout_in_flight.total()
         self._mean_own_live += LIVE_SMOOTHING * (num_own_live - self._mean_own_live)
         if report.is_leaving:
-            self.mark_leaving(machine_id)
+            self.mark_draining(machine_id)
 
-    def mark_leaving(self, machine_id: str) -> None:
+    def mark_draining(self, machine_id: str) -> None:
         """Mark the current incarnation of a machine as draining, permanently."""
         machine = self._machines.get(machine_id)
         if machine is not None:
-            self._leaving.add((machine_id, machine.incarnation))
+            self._draining.add((machine_id, machine.incarnation))
 
     def drop_lease(self, machine_id: str) -> None:
         """Stop using a worker that failed a request, until it reports again."""
@@ -156,7 +156,7 @@
         return tuple(worker for worker in self._workers() if self._is_usable(worker, now))
 
     def reported_versions(self) -> dict[str, int]:
-        """Return the weight version that each worker last reported, by machine ID."""
+        """Return the weight version that each worker last reported, by machine id."""
         return {key: held.report.weight_version for key, held in self._reports.items()}
 
     def _workers(self) -> list[Worker]:
@@ -181,4 +181,4 @@
 
     def _is_usable(self, worker: Worker, now: float) -> bool:
         identity = (worker.machine.machine_id, worker.machine.incarnation)
-        return now < worker.expires_at and identity not in self._leaving and not worker.report.is_leaving
+        return now < worker.expires_at and identity not in self._draining and not worker.report.is_leaving
--- a/src/worksramp/routing/live_stream.py
+++ b/src/worksramp/routing/live_stream.py
@@ -57,7 +57,7 @@
         self._quarantine = quarantine
         self._request = request
         self._route = route
-        self._course = history
+        self._history = history
         self._ends_at = request.ends_at(route)
         self._attempt_stack = AsyncExitStack()
         self._worker: WorkerState | None = None
@@ -83,7 +83,7 @@
         try:
             body = b"".join([chunk async for chunk in answer.body])
         except WorkerAnswerBrokenError as error:
-            self._choice.record_failure(self._request, worker, self._course, f"broken: {error}")
+            self._choice.record_failure(self._request, worker, self._history, f"broken: {error}")
             await self._quarantine.handle_broken_connection(worker)
             return None
         finally:
@@ -100,18 +100,18 @@
         try:
             sending = self._port.send(worker.entry, to_worker_request(request, self._ends_at))
             answer = await self._attempt_stack.enter_async_context(sending)
-            is_open = not self._choice.record_answer_head(answer, worker, self._course)
+            is_open = not self._choice.record_answer_head(answer, worker, self._history)
             return answer if is_open else None
         except WorkerUnreachableError as error:
-            self._course.num_refused_connections += int(error.is_refusal)
-            self._choice.record_failure(request, worker, self._course, f"unreachable: {error}")
+            self._history.num_refused_connections += int(error.is_refusal)
+            self._choice.record_failure(request, worker, self._history, f"unreachable: {error}")
         except WorkerAnswerBrokenError as error:
-            self._course.may_have_run = True
-            self._choice.record_failure(request, worker, self._course, f"broken: {error}")
+            self._history.may_have_run = True
+            self._choice.record_failure(request, worker, self._history, f"broken: {error}")
             await self._quarantine.handle_broken_connection(worker)
         except anyio.get_cancelled_exc_class():
-            self._course.may_have_run = True
-            self._course.last_reason = "deadline"
+            self._history.may_have_run = True
+            self._history.last_reason = "deadline"
             raise
         finally:
             if not is_open:
@@ -150,10 +150,10 @@
         """
         request = replace(self._request, resume_after=last_id)
         while self._may_resume():
-            worker = self._choice.choose(self._choice.choose_service(self._route), self._course)
+            worker = self._choice.choose(self._choice.choose_service(self._route), self._history)
             if worker is None:
                 break
-            self._course.tried.append(worker.entry.worker_id)
+            self._history.tried.append(worker.entry.worker_id)
             answer = await self._send(worker, request)
             if answer is not None and answer.status < FIRST_FAILURE_STATUS:
                 return answer
@@ -164,6 +164,6 @@
         return (
             self._route.is_resumable
             and not self._quarantine.is_quarantined(self._request.fingerprint)
-            and self._course.has_attempt_left(self._route)
+            and self._history.has_attempt_left(self._route)
             and anyio.current_time() < self._ends_at
         )
--- a/src/worksramp/routing/pool.py
+++ b/src/worksramp/routing/pool.py
@@ -69,7 +69,7 @@
             yield
         except NotStartedError as error:
             if error.is_leaving:
-                self.table.mark_leaving(machine_id)
+                self.table.mark_draining(machine_id)
             elif error.retry_after_seconds is None:
                 self.table.drop_lease(machine_id)
             raise
--- a/src/worksramp/routing/table.py
+++ b/src/worksramp/routing/table.py
@@ -27,8 +27,8 @@
     """One route.
 
     Attributes:
-        timeout_seconds: maximum time until the final answer; None for no limit.
-        objective_seconds: time within which an answer is worth most.
+        timeout_seconds: maximum time until the final response; None for no limit.
+        objective_seconds: time within which a response is worth most.
         max_attempts: maximum number of workers that one request is sent to.
         priority: 0 is the most urgent.
         is_resumable: whether a broken stream may be resumed at another worker.
@@ -58,12 +58,12 @@
             self.kind is RouteKind.STREAMING and self.is_resumable
         )
 
-    def choose_service(self, source: random.Random) -> str:
+    def choose_service(self, rng: random.Random) -> str:
         """Return a service of the split, chosen at random by weight."""
         if len(self.parts) == 1:
             return self.parts[0].service
         weights = [part.weight for part in self.parts]
-        return source.choices([part.service for part in self.parts], weights)[0]
+        return rng.choices([part.service for part in self.parts], weights)[0]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/worksramp/routing/worker_port.py
+++ b/src/worksramp/routing/worker_port.py
@@ -16,11 +16,11 @@
     """One request to a worker.
 
     Attributes:
-        request_id: ID that the answer must carry.
+        request_id: id that the answer must carry.
         target: path and query, byte for byte.
         headers: headers of the caller, without connection headers and those set from the other fields.
         deadline_seconds: time left for the worker, None for no deadline.
-        resume_after: ID of the last event already received, None to start from the beginning.
+        resume_after: id of the last event already received, None to start from the beginning.
         urgency: 0 (most urgent) to 9, None for the worker's default.
     """
 
--- a/src/worksramp/routing/worker_starts.py
+++ b/src/worksramp/routing/worker_starts.py
@@ -1,4 +1,4 @@
-"""Detects workers that have restarted under the same ID."""
+"""Detects workers that have restarted under the same id."""
 
 from worksramp.routing.workers import WorkerDirectory
 
@@ -12,7 +12,7 @@
         self._revision = -1
 
     def restarted(self) -> list[str]:
-        """Return the IDs of workers whose start differs from the one seen at an earlier call."""
+        """Return the ids of workers whose start differs from the one seen at an earlier call."""
         if self._directory.revision == self._revision:
             return []
         self._revision = self._directory.revision
--- a/src/worksramp/routing/workers.py
+++ b/src/worksramp/routing/workers.py
@@ -16,7 +16,7 @@
     """State that a worker publishes about itself.
 
     Attributes:
-        worker_id: ID of the worker; a restarted worker may use it again.
+        worker_id: id of the worker; a restarted worker may use it again.
         address: ``ip:port``.
         is_leaving: whether the worker is draining and accepts no new work.
         num_slots: number of requests the worker runs at the same time.
@@ -53,7 +53,7 @@
     """This node's view of one worker. Times are on this node's own clock.
 
     Attributes:
-        num_in_flight: number of requests this node has at the worker.
+        num_in_flight: number of requests this node has at the worker, without batch items.
         reported_running: requests running at the worker, as last reported by it.
         reported_waiting: requests queued at the worker, as last reported by it.
         load_reported_at: when the worker last reported its load.
@@ -132,9 +132,9 @@
 
 
 class WorkerDirectory:
-    """All workers that have an entry, by ID.
+    """All workers that have an entry, by id.
 
-    A worker may restart under the same ID. The new start is treated as a new worker: it holds no state of the
+    A worker may restart under the same id. The new start is treated as a new worker: it holds no state of the
     previous start, and observations of the previous start do not apply to it.
     """
 
@@ -146,7 +146,7 @@
 
     @property
     def num_remembered(self) -> int:
-        """Number of worker IDs whose latest start is remembered, including those of removed workers."""
+        """Number of worker ids whose latest start is remembered, including those of removed workers."""
         return len(self._starts)
 
     def is_known(self, worker_id: str) -> bool:
@@ -195,7 +195,7 @@
         """Return the workers whose entries disappeared at ``latest`` or before and have not reappeared."""
         return [worker_id for worker_id, at in self._missing_since.items() if at <= latest]
 
-    def mark_leaving(self, worker_id: str) -> None:
+    def mark_draining(self, worker_id: str) -> None:
         """Send no new work to the current start of a worker.
 
         Called when an answer shows that the worker is draining or that another worker has its address.
@@ -214,7 +214,7 @@
         return worker_id in self._states and not self._starts[worker_id].is_draining
 
     def usable(self, service: str) -> list[WorkerState]:
-        """Return the workers of a service that accept new work, sorted by ID."""
+        """Return the workers of a service that accept new work, sorted by id."""
         return [
             state
             for worker_id, state in sorted(self._states.items())
--- a/tests/unit/test_batch_decisions.py
+++ b/tests/unit/test_batch_decisions.py
@@ -203,8 +203,8 @@
         failures.observe("grey", is_failure=number % 2 == 0, now=number / 10)
         failures.observe("good", is_failure=False, now=number / 10)
     failures.observe("unlucky", is_failure=True, now=0.8)
-    assert failures.suspects(0.8) == frozenset(["grey"])
-    assert failures.suspects(8.0) == frozenset()
+    assert failures.failing_workers(0.8) == frozenset(["grey"])
+    assert failures.failing_workers(8.0) == frozenset()
 
 
 def test_a_failing_worker_gets_only_items_without_another_free_slot() -> None:
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -2,12 +2,12 @@
 
 Its body crashed each worker that began to run it. Each submission went to two workers at most, as the route
 allows, but that count was kept in the memory of one node and ended with the submission. The caller retried
-under another ID at another node, which had no record of the crashes and sent the request to two more workers.
+under another id at another node, which had no record of the crashes and sent the request to two more workers.
 So workers crashed as fast as they restarted, and other requests running there were lost with them.
 
 The cause showed in the attempt_failed log lines once they carried a fingerprint shared by all retries of a
 request. In a simulation of six nodes before the fix, one fingerprint stood in 18 of 22 lines, under fourteen
-request IDs and never more than twice under the same one.
+request ids and never more than twice under the same one.
 """
 
 import math
--- a/tests/unit/test_failing_workers.py
+++ b/tests/unit/test_failing_workers.py
@@ -1,8 +1,8 @@
 """Two of three workers fail nine of ten runs for six seconds, although the items are valid.
 
 With each of these seeds, one to five of 120 items were given up: they had been sent to the failing workers
-six times while the healthy one was full. The first four seeds did so before held reads were answered sooner,
-the others after that change.
+six times while the healthy one was full. Which seeds do so depends on how soon a waiting read is answered:
+the first four did with a longer delay, the others with a shorter one.
 """
 
 import anyio
--- a/tests/unit/test_worker_starts.py
+++ b/tests/unit/test_worker_starts.py
@@ -1,4 +1,4 @@
-"""A worker that restarts under the same ID is a new worker: no state or observation carries over."""
+"""A worker that restarts under the same id is a new worker: no state or observation carries over."""
 
 from unittest import mock
 
@@ -56,7 +56,7 @@
 def test_marking_one_start_as_draining_does_not_affect_the_next_one() -> None:
     directory = WorkerDirectory()
     directory.put(entry(FIRST_MS))
-    directory.mark_leaving("w1")
+    directory.mark_draining("w1")
     assert not directory.is_usable("w1")
     directory.put(entry(SECOND_MS))
     assert directory.is_usable("w1")
