--- a/src/worksramp/backends/base.py
+++ b/src/worksramp/backends/base.py
@@ -162,7 +162,7 @@
     async def order_load(self, address: str, order: LoadOrder) -> WorkerReport:
         """Order a weight load and return the engine's report.
 
-        The reply to the order does not show which version is loaded; the version in later reports does.
+        The answer to the order does not show which version is loaded; the version in later reports does.
         """
 
 
@@ -171,7 +171,7 @@
 
     @abstractmethod
     async def call(self, address: str, request: ApplicationRequest) -> ApplicationReply:
-        """Run one request at the worker and return its reply."""
+        """Run one request at the worker and return its answer."""
 
     @abstractmethod
     async def report(self, address: str) -> WorkerReport:
--- a/src/worksramp/backends/http.py
+++ b/src/worksramp/backends/http.py
@@ -219,7 +219,7 @@
     """Application worker over HTTP."""
 
     async def call(self, address: str, request: ApplicationRequest) -> ApplicationReply:
-        """See `ApplicationClient.call`. Any error status except 503 is the worker's own reply."""
+        """See `ApplicationClient.call`. Any error status except 503 is the worker's own answer."""
         step = "application.call"
         timeout = httpx.Timeout(STREAM_IDLE_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
         url = f"http://{address}{request.path}"
