--- a/src/worksramp/routing/limits.py
+++ b/src/worksramp/routing/limits.py
@@ -118,7 +118,7 @@
     if not isinstance(last, NotStartedError):
         return last
     if has_begun:
-        return InterruptedStepError(last.step, last.peer, f"an earlier attempt may have begun; {last.reason}")
+        return InterruptedStepError(last.step, last.peer, f"an earlier try may have begun; {last.reason}")
     seconds = last.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
     return NotStartedError(last.step, last.peer, last.reason, seconds, last.is_leaving)
 
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -62,8 +62,8 @@
 
 def test_the_elapsed_clock_advances_with_the_monotonic_one() -> None:
     async def main() -> None:
-        first, monotonic = elapsed_s(), anyio.current_time()
+        first, monotonic_s = elapsed_s(), anyio.current_time()
         await anyio.sleep(0.02)
-        assert elapsed_s() - first >= (anyio.current_time() - monotonic) * 0.5
+        assert elapsed_s() - first >= (anyio.current_time() - monotonic_s) * 0.5
 
     anyio.run(main)
