--- a/src/worksramp/gateway/operators.py
+++ b/src/worksramp/gateway/operators.py
@@ -230,9 +230,9 @@
         case Invalid(path=path, reason=reason):
             return json_response(ErrorBody("invalid", reason, f"document.{path}"), UNPROCESSABLE)
         case Unsupported(schema_version=version):
-            reason = f"this node does not support schema version {version}"
+            reason = f"this node cannot judge schema version {version}"
             return json_response(ErrorBody("unknown", reason, "schema_version"), BAD_GATEWAY)
         case None:
-            body = ErrorBody("unknown", "not confirmed yet; retry with the same change_id", "change_id")
+            body = ErrorBody("unknown", "not confirmed yet; ask again with the same change_id", "change_id")
             body.retry_after_seconds = UNRESOLVED_RETRY_SECONDS
             return json_response(body, UNAVAILABLE, UNRESOLVED_RETRY_SECONDS)
--- a/src/worksramp/node/main.py
+++ b/src/worksramp/node/main.py
@@ -22,14 +22,14 @@
 MAX_KEEPALIVE_CONNECTIONS = 500
 KEEPALIVE_SECONDS = 30.0
 HTTP_SHUTDOWN_SECONDS = 10.0
-INSTANCE_SUFFIX_LENGTH = 8
+INSTANCE_SUFFIX_CHARACTERS = 8
 
 logger = structlog.get_logger()
 
 
 def make_identity(node_id: str) -> Identity:
     """Return a new identity for this process, with a random suffix and a random seed."""
-    suffix = uuid.uuid4().hex[:INSTANCE_SUFFIX_LENGTH]
+    suffix = uuid.uuid4().hex[:INSTANCE_SUFFIX_CHARACTERS]
     return Identity(f"{node_id}.{suffix}", int.from_bytes(os.urandom(8), "big"))
 
 
--- a/src/worksramp/node/node.py
+++ b/src/worksramp/node/node.py
@@ -296,9 +296,7 @@
 
     async def _run_sample_locally(self, request: RunSample) -> NodeReply:
         if self.is_draining:
-            return CallFailed(
-                "node.run_sample", self.settings.node_id, "the node is draining", is_not_started=True
-            )
+            return CallFailed("node.run_sample", self.settings.node_id, "leaving", is_not_started=True)
         pool = self.directory.pool(MachineRole.ENGINE, request.fleet)
         if pool is None:
             reason = f"no engine of fleet {request.fleet!r} is listed"
--- a/src/worksramp/node/plans.py
+++ b/src/worksramp/node/plans.py
@@ -32,7 +32,7 @@
 
 
 def ledger_shard(number: int) -> str:
-    """Return the name of the shard, and of the stream, of one slice of the idempotency ledger."""
+    """Return the name of a ledger shard, which is also the name of its stream."""
     return f"ledger.{number}"
 
 
--- a/src/worksramp/transport/messages.py
+++ b/src/worksramp/transport/messages.py
@@ -8,10 +8,10 @@
 
 
 class ExecuteOnce(msgspec.Struct, frozen=True, tag="execute_once"):
-    """Ask the owner of the key's ledger slice to run a request at most once.
+    """Ask the owner of the key's ledger shard to run a request at most once.
 
     Attributes:
-        shard: shard of the ledger slice.
+        shard: name of the ledger shard.
         key: canonical idempotency key, which includes the tenant.
         deadline_seconds: time until the deadline of the request.
     """
@@ -176,7 +176,7 @@
 
     Attributes:
         snapshot: encoded state before ``start``; empty if the receiver needs none.
-        is_ready: whether the responding node is up to date itself. Only then does its reply count towards
+        is_ready: whether the replying node is up to date itself. Only then does its reply count towards
             those that a starting node needs.
     """
 
