--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -195,7 +195,9 @@
             self.shard.ledger,
             self.shard.replica,
             ServiceTimes(
-                answer=bounds.acknowledge / 3, freshness=0.8 * bounds.settle, cut_off=1.2 * bounds.settle
+                answer=bounds.acknowledge / 3,
+                freshness=0.8 * bounds.settle,
+                partitioned_after_s=1.2 * bounds.settle,
             ),
         )
         self._add_gauges()
--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -2,7 +2,7 @@
 
 One loop assigns waiting items to workers, checks whether runs are stuck or their workers far slower than the
 others, and sends scoring calls for complete texts. One task writes texts to the log, so that the next owner
-continues them.
+resumes them.
 """
 
 import anyio
--- a/src/worksramp/rollout/batch_run.py
+++ b/src/worksramp/rollout/batch_run.py
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_text(cls, text: GeneratedText) -> "TextBuilder":
-        """Return a builder that continues a kept text."""
+        """Return a builder that resumes a kept text."""
         return cls(
             list(text.pieces),
             text.last_event_id,
--- a/src/worksramp/rollout/batch_schedule.py
+++ b/src/worksramp/rollout/batch_schedule.py
@@ -1,4 +1,4 @@
-"""Assigns waiting items of batches to workers: pure functions of one snapshot of items and workers.
+"""Assigns waiting items of batches to workers: pure functions of one view of items and workers.
 
 Load pattern: all items of a step arrive at once. Most are short, a few are ten times as long, and the step
 ends with the last of those. Some workers are slow, or were slow when last measured and may have recovered.
--- a/src/worksramp/rollout/batch_service.py
+++ b/src/worksramp/rollout/batch_service.py
@@ -26,7 +26,7 @@
 
 MAX_PAGE_BYTES = 900_000
 REASON_PARTITIONED = "store_not_heard"
-#: Long enough for one read of the store, with a margin for a slow one.
+#: Long enough for one read of the store at low load, with a margin for a slow one.
 CATCH_UP_TIMEOUT_S = 0.05
 
 logger = structlog.get_logger()
@@ -90,13 +90,13 @@
         answer: timeout of one operation on the log.
         freshness: maximum age of the replica's last confirmation at which it may report that a result is
             missing.
-        cut_off: age of the replica's last confirmation above which the node counts as partitioned and
-            refuses calls immediately.
+        partitioned_after_s: age of the replica's last confirmation above which the node counts as
+            partitioned and refuses calls immediately.
     """
 
     answer: float
     freshness: float
-    cut_off: float
+    partitioned_after_s: float
 
 
 async def _skip_catch_up(replica: KeyedReplica) -> None:
@@ -225,7 +225,7 @@
 
     def is_partitioned(self) -> bool:
         """Return whether calls are refused immediately because the store is unavailable to this node."""
-        return _is_partitioned(self._replica, self._times.cut_off)
+        return _is_partitioned(self._replica, self._times.partitioned_after_s)
 
     async def _find(self, batch_id: str) -> Batch | NoSuchBatch | NotSure:
         batch = self._ledger.batches.get(batch_id)
--- a/src/worksramp/rollout/batch_values.py
+++ b/src/worksramp/rollout/batch_values.py
@@ -77,11 +77,11 @@
             ValuesUnavailableError: some items could not be read.
         """
         keys = {index: item_key(header.batch_id, index) for index in indices}
-        places = [
+        locations = [
             ValueLocation(key, header.item_offsets[index], header.item_sizes_b[index])
             for index, key in keys.items()
         ]
-        found = await self.store.fetch(header.batch_id, places)
+        found = await self.store.fetch(header.batch_id, locations)
         return {index: decode(found[key], BatchItem) for index, key in keys.items()}
 
     async def results(self, batch: Batch, positions: Sequence[int]) -> list[BatchResult]:
@@ -92,17 +92,19 @@
         """
         batch_id = batch.header.batch_id
         records = {position: batch.results[position] for position in positions}
-        places = [
-            place
+        locations = [
+            location
             for position, record in records.items()
-            for place in _text_places(batch_id, position, record)
+            for location in _text_locations(batch_id, position, record)
         ]
-        found = await self.store.fetch(batch_id, places) if places else {}
+        found = await self.store.fetch(batch_id, locations) if locations else {}
         return [
             BatchResult(
                 record.item_id,
                 record.is_completed,
-                b"".join(found[place.key] for place in _text_places(batch_id, position, record)).decode(),
+                b"".join(
+                    found[location.key] for location in _text_locations(batch_id, position, record)
+                ).decode(),
                 record.versions,
                 record.score,
             )
@@ -115,11 +117,11 @@
     batch_id = batch.header.batch_id
     keys = [item_key(batch_id, index) for index in range(len(batch.header.item_ids))]
     for position, record in batch.results.items():
-        keys += [place.key for place in _text_places(batch_id, position, record)]
+        keys += [location.key for location in _text_locations(batch_id, position, record)]
     return [KeyedRecord(key, b"") for key in keys]
 
 
-def _text_places(batch_id: str, position: int, record: ResultRecord) -> list[ValueLocation]:
+def _text_locations(batch_id: str, position: int, record: ResultRecord) -> list[ValueLocation]:
     return [
         ValueLocation(text_key(batch_id, position, record.epoch, part), offset, size_b)
         for part, (offset, size_b) in enumerate(zip(record.text_offsets, record.text_sizes_b, strict=True))
--- a/src/worksramp/rollout/batches.py
+++ b/src/worksramp/rollout/batches.py
@@ -46,7 +46,7 @@
     """Request that asks a scorer to score an item's complete text.
 
     Attributes:
-        call_id: id of the call; a score counts only if it carries the same id.
+        call_id: id of the call, which the scorer's answer must repeat.
         host: host name by which the route is chosen.
         target: path and query string sent to the scorer.
     """
@@ -58,7 +58,7 @@
 
 
 class Score(msgspec.Struct, frozen=True, array_like=True):
-    """Successful response to a scoring call.
+    """Successful answer to a scoring call.
 
     Attributes:
         call_id: id of the scoring call.
@@ -97,11 +97,11 @@
         pieces: data of each event, in order.
         last_event_id: id of the last complete event, None if there is none.
         versions: weight versions that generated at least one event, in order of first use.
-        num_failures: runs in batch ``batch_id`` that workers ended with an error response of their own.
+        num_failures: runs in batch ``batch_id`` that workers ended with an error of their own.
         is_whole: whether the text is complete.
         batch_id: batch in which the failures were counted.
-        score: response to a scoring call that was sent after the text was complete.
-        num_scoring_failures: error responses of scorers in batch ``batch_id``.
+        score: answer to a scoring call that was sent after the text was complete.
+        num_scoring_failures: errors of their own that scorers answered with in batch ``batch_id``.
     """
 
     pieces: tuple[str, ...] = ()
--- a/src/worksramp/rollout/bodies.py
+++ b/src/worksramp/rollout/bodies.py
@@ -1,7 +1,7 @@
 """Access to the texts of finished samples: a bounded memory cache in front of the job's log stream.
 
-The job's state holds only the log offset of each sample. Texts that are not cached, for example after a
-takeover, are read back in ranges when a batch is sent.
+The job's state holds the log offset of each sample, not its text. Texts that are not cached, for example
+after a takeover, are read back in ranges when a batch is sent.
 """
 
 from collections import OrderedDict
--- a/src/worksramp/rollout/carried_items.py
+++ b/src/worksramp/rollout/carried_items.py
@@ -2,7 +2,7 @@
 
 A resubmitted item counts among those that the trainer waits for, and its text must come from weight versions
 that the later batch allows. A carried item therefore runs under the newest named version, after the items of
-open batches, and the batch that resubmits it continues its text. Until then it is neither listed nor scored.
+open batches, and the batch that resubmits it resumes its text. Until then it is neither listed nor scored.
 No run of it starts at a time when the end of its batch must already have cancelled it.
 """
 
@@ -16,7 +16,7 @@
 from worksramp.rollout.owner_context import OwnerContext
 from worksramp.rollout.stage_clock import StageClock
 
-#: Runs may start within this share of ``cancel_s`` after an end: others learned of the end before this node.
+#: Share of ``cancel_s`` in which runs may start after this node has read the end: it was recorded earlier.
 START_WINDOW_SHARE = 0.4
 
 logger = structlog.get_logger()
--- a/src/worksramp/rollout/fast_slots.py
+++ b/src/worksramp/rollout/fast_slots.py
@@ -8,7 +8,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-#: A worker is fast within this ratio of the fast seconds per event: a smaller difference may be chance.
+#: Workers count as fast up to this multiple of the lower quartile of the seconds per event: a smaller
+#: difference may be chance.
 FAST_PACE_RATIO = 1.2
 
 
--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -40,7 +40,7 @@
 IMPOSSIBLE_PAUSE_S = 2.0
 #: Delay before a call that the quarantine has refused, because it crashes scorers, is tried again.
 CRASHING_PAUSE_S = 2.0
-#: Delay between an error or a lost response and the next call of the same item.
+#: Delay between an error or a lost answer and the next call of the same item.
 FAILURE_PAUSE_S = 0.05
 #: Concurrent calls of one item: the first, and a second one if the first is late.
 MAX_CALLS_AT_ONCE = 2
@@ -127,14 +127,14 @@
 
     def _unscored_item(self, work: ItemWork, route: Route, num_group_left: int, now: float) -> UnscoredItem:
         scoring = work.scoring
-        if scoring.whole_at is None:
-            scoring.whole_at = now
+        if scoring.completed_at is None:
+            scoring.completed_at = now
         return UnscoredItem(
             key=work.key,
             service=route.choose_service(self._random),
             batch_age_s=self._context.time_of_day() - work.submitted_at,
             num_group_left=num_group_left,
-            waiting_s=now - scoring.whole_at,
+            waiting_s=now - scoring.completed_at,
             avoided=scoring.called_workers(),
             last_resorts=scoring.last_resorts_now(now),
         )
@@ -147,7 +147,7 @@
         for work in self._items.works.values():
             for call in work.scoring.calls:
                 num_calls[call.worker_id] = num_calls.get(call.worker_id, 0) + 1
-        suspects = self._failures.suspects(now)
+        failing = self._failures.suspects(now)
         return [
             ScorerView(
                 worker_id=state.entry.worker_id,
@@ -158,7 +158,7 @@
                 if now - state.load_reported_at < REPORTED_LOAD_VALID_S
                 else 0,
                 latency_s=state.latency_seconds,
-                is_failing=state.entry.worker_id in suspects,
+                is_failing=state.entry.worker_id in failing,
             )
             for service in table.services
             for state in self._context.directory.usable(service)
@@ -226,7 +226,7 @@
             reason=getattr(outcome, "reason", ""),
             num_calls=work.scoring.num_calls,
             seconds=round(now - call.started_at, 3),
-            whole_seconds=round(now - (work.scoring.whole_at or now), 3),
+            whole_seconds=round(now - (work.scoring.completed_at or now), 3),
         )
         _handlers.handle(self, outcome, work, call, now)
 
--- a/src/worksramp/rollout/item_work.py
+++ b/src/worksramp/rollout/item_work.py
@@ -24,7 +24,7 @@
         last_event_at: when its last event arrived, or when it was sent if there is none.
         num_events: events received from it.
         longest_gap: longest time in seconds between two of its events.
-        is_moving: it is being closed so that another worker can continue the item.
+        is_moving: it is being closed so that another worker can resume the item.
     """
 
     worker_id: str
@@ -65,7 +65,7 @@
     """State of the scoring of one item.
 
     Attributes:
-        whole_at: when its text was complete, None before.
+        completed_at: when its text became complete, None before.
         calls: calls in progress.
         last_resorts: workers to be called after all others, each until a time.
         wait_until: no call is sent before this time.
@@ -74,7 +74,7 @@
         num_calls: calls sent so far.
     """
 
-    whole_at: float | None = None
+    completed_at: float | None = None
     calls: list[ScorerCall] = field(default_factory=list)
     last_resorts: dict[str, float] = field(default_factory=dict)
     wait_until: float = float("-inf")
--- a/src/worksramp/rollout/job_service.py
+++ b/src/worksramp/rollout/job_service.py
@@ -285,8 +285,9 @@
 
 
 def plan_period_seconds(spec: JobSpec) -> float:
-    """Return the seconds between two runs of the sample plan.
+    """Return the seconds between two plans of the samples to start.
 
-    A run takes time in proportion to the number of samples, so jobs with large steps plan less often.
+    Planning takes time in proportion to the number of finished samples, so jobs with large steps plan less
+    often.
     """
     return max(MIN_PLAN_PERIOD_SECONDS, PLAN_SECONDS_PER_SAMPLE * spec.samples_per_step)
--- a/src/worksramp/rollout/move_gain.py
+++ b/src/worksramp/rollout/move_gain.py
@@ -1,4 +1,4 @@
-"""Estimates what a running item gains by a move to another worker: pure functions of one snapshot.
+"""Estimates what a running item gains by a move to another worker: pure functions of one view.
 
 Load pattern: workers become slow while they run long items, both at low load and while more items wait than
 there are slots. A move is worth its cost if the item gets a slot of a fast worker soon enough. While other
@@ -27,7 +27,7 @@
 
 
 class MoveEstimator:
-    """Snapshot of the workers of a fleet and of the items that wait for them."""
+    """View of the workers of a fleet and of the items that wait for them."""
 
     def __init__(
         self, workers: list[WorkerView], waiting: list[WaitingItem], longest_left: Mapping[str, float]
--- a/src/worksramp/rollout/open_items.py
+++ b/src/worksramp/rollout/open_items.py
@@ -1,4 +1,4 @@
-"""Holds the open items of an owner and builds the snapshots that scheduling decisions are made from."""
+"""Holds the open items of an owner and builds the views that scheduling decisions are made from."""
 
 from collections import Counter, deque
 from collections.abc import Iterable
@@ -88,7 +88,7 @@
         self._step_sizes.setdefault(model, deque(maxlen=NUM_REMEMBERED_STEPS)).append(num_items)
 
     def view(self) -> FleetView:
-        """Return a snapshot of the open work and of the slow and failing workers."""
+        """Return a view of the open work and of the slow and failing workers."""
         now = anyio.current_time()
         works: dict[str, list[ItemWork]] = {model: [] for model in self._step_sizes}
         num_runs: dict[tuple[str, str], int] = {}
--- a/src/worksramp/rollout/owner_context.py
+++ b/src/worksramp/rollout/owner_context.py
@@ -45,7 +45,7 @@
         status_seconds: age of an ended batch until which its results are kept.
         named_versions: newest version of each model, updated by the node.
         cancel_s: no item may reach a worker later than this many seconds after the end of its batch.
-        quarantine: keeps requests that crash workers from workers.
+        quarantine: keeps requests that crash workers away from all workers.
         time_of_day: returns the time in seconds that batches are stamped with.
         on_run_ended: called with the class name of each run's outcome.
         on_scoring_ended: called with the class name of each scoring call's outcome.
--- a/src/worksramp/rollout/run_watch.py
+++ b/src/worksramp/rollout/run_watch.py
@@ -51,7 +51,7 @@
         self._move_slow([(work, run) for work, run in running if not run.is_moving], now)
 
     def close_runs_at(self, worker_id: str) -> None:
-        """Close the runs at a worker that has restarted, so that their items are assigned anew."""
+        """Close the runs at a worker that has restarted, so that their items are assigned again."""
         now = anyio.current_time()
         for work in list(self._items.works.values()):
             if work.run is not None and work.run.worker_id == worker_id and not work.run.is_moving:
@@ -60,7 +60,7 @@
 
     @mechanism("stuck_runs", without=lambda watch, run, typical, now: False)
     def _is_stuck(self, run: Run, typical: float | None, now: float) -> bool:
-        """Treat a run without events for a long time as stuck, and continue its item at another worker."""
+        """Treat a run without events for a long time as stuck, and resume its item at another worker."""
         silent = now - run.last_event_at
         if run.num_events == 0:
             return silent > FIRST_EVENT_SECONDS
@@ -77,7 +77,7 @@
             and self._pace.is_slower_than_fast(run.worker_id, now)
         ]
         if not slow:
-            # Most checks end here; the snapshot for the estimates is expensive.
+            # Most checks end here; the view for the estimates is expensive.
             return
         estimator = MoveEstimator(
             self._items.worker_views(now),
--- a/src/worksramp/rollout/scoring_call.py
+++ b/src/worksramp/rollout/scoring_call.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scored:
-    """The worker returned a successful response with a complete body."""
+    """The worker returned a successful answer with a complete body."""
 
     score: Score
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoringLost:
-    """The call may have run, but no complete and valid response was received.
+    """The call may have run, but no complete and valid answer was received.
 
     Attributes:
         is_connection_lost: whether the connection was lost, as happens when the worker crashes.
@@ -72,7 +72,7 @@
     """Outcome of one call.
 
     Attributes:
-        load: load reported with the response, None if there was none.
+        load: load reported with the answer, None if there was none.
     """
 
     outcome: ScoringOutcome
@@ -82,7 +82,7 @@
 async def call_scorer(
     port: WorkerPort, worker: WorkerEntry, call: ScoringCall, deadline_s: float
 ) -> ScoringAnswer:
-    """Send a scoring call to a worker and read the complete response.
+    """Send a scoring call to a worker and read the complete answer.
 
     Cancellation closes the connection, and the worker then aborts the call. Connection errors are returned as
     outcomes, not raised.
--- a/src/worksramp/rollout/scoring_schedule.py
+++ b/src/worksramp/rollout/scoring_schedule.py
@@ -43,9 +43,9 @@
     Attributes:
         num_calls: scoring calls of this owner that are in flight at the worker.
         num_reported_waiting: waiting requests in the worker's last load report.
-        latency_s: moving mean of its response times in seconds, None before the first response.
-        is_failing: whether it has recently failed part of its requests; such a worker is chosen after all
-            others.
+        latency_s: moving mean of the times of its answers in seconds, None before the first.
+        is_failing: whether it has recently failed a large share of its work; such a worker is chosen after
+            all others.
     """
 
     worker_id: str
--- a/src/worksramp/rollout/scoring_times.py
+++ b/src/worksramp/rollout/scoring_times.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 #: Number of recent successful calls that are measured.
-WINDOW_SIZE = 64
+NUM_RECENT_CALLS = 64
 #: A call is late after this multiple of the `LATE_QUANTILE` of recent durations.
 LATE_FACTOR = 2.0
 #: Quantile of the recent durations: nearly all calls take at most this long.
@@ -16,7 +16,7 @@
     """Durations of the last successful scoring calls."""
 
     def __init__(self) -> None:
-        self._times_s: deque[float] = deque(maxlen=WINDOW_SIZE)
+        self._times_s: deque[float] = deque(maxlen=NUM_RECENT_CALLS)
 
     def observe(self, seconds: float) -> None:
         """Record the duration of a successful call."""
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -76,7 +76,7 @@
         while len(self._of_ended_batches) > MAX_TEXTS_OF_ENDED_BATCHES:
             self._of_ended_batches.popitem(last=False)
 
-    def forget(self, item_id: str) -> None:
+    def discard(self, item_id: str) -> None:
         """Discard the text of an item that is listed, or whose batch has expired."""
         self._of_ended_batches.pop(item_id, None)
         self._from_former_owners.pop(item_id, None)
@@ -149,6 +149,6 @@
         open_items = {work.item.item_id for work in self._items.works.values()}
         for item_id in batch.header.item_ids:
             if item_id not in open_items:
-                self.forget(item_id)
+                self.discard(item_id)
         self._context.writer.put(*batch_tombstones(batch))
         logger.info("batch_forgotten", batch_id=batch_id)
