--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -64,7 +64,7 @@
 
     def add_worker(self) -> None:
         worker_record = {"service": "fleet", "address": "10.128.0.9:8080", "slots": 8, "state": "ready",
-                "models": [{"name": "m", "version": 1}], "born": 1765000000123}  # fmt: skip
+                         "models": [{"name": "m", "version": 1}], "born": 1765000000123}  # fmt: skip
         self.store.do_append(
             RECORDS.workers, (KeyedRecord("w-1", json.dumps(worker_record).encode()),), None, None
         )
@@ -73,7 +73,7 @@
 
     def add_scorer(self) -> None:
         worker_record = {"service": "desk", "address": "10.128.0.8:8080", "slots": 8, "state": "ready",
-                "born": 1765000000123}  # fmt: skip
+                         "born": 1765000000123}  # fmt: skip
         self.store.do_append(
             RECORDS.workers, (KeyedRecord("s-1", json.dumps(worker_record).encode()),), None, None
         )
@@ -324,7 +324,7 @@
     run_scenario(scenario)
 
 
-def test_an_append_without_a_response_is_not_reported_as_a_refusal() -> None:
+def test_an_append_without_an_answer_is_not_reported_as_a_refusal() -> None:
     async def scenario(deployment: Deployment) -> None:
         deployment.store.faults.lost_answers = 1.0
         deployment.store.faults.lost_topics = frozenset([RECORDS.batches.topic])
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -155,6 +155,6 @@
 
 @given(st.binary(max_size=64))
 @settings(derandomize=True, max_examples=300)
-def test_decoding_any_response_of_the_store_raises_no_error(data: bytes) -> None:
+def test_decoding_any_answer_of_the_store_raises_no_error(data: bytes) -> None:
     decode_records(data, 0)
     decode_records(record(data), 0)
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -87,7 +87,7 @@
         fleet.add(FleetWorker(WorkerEntry("w-1", "fleet", addresses["worker"], "z", 8), 0.002, {"m": 1}))
         worker = WorkerApp(fleet, "w-1", "m")
         worker_record = {"service": "fleet", "address": addresses["worker"], "slots": 8, "state": "ready",
-                "models": [{"name": "m", "version": 1}], "born": 1765000000123}  # fmt: skip
+                         "models": [{"name": "m", "version": 1}], "born": 1765000000123}  # fmt: skip
         for partition, key, value in (
             (RECORDS.control, "config", CONFIGURATION),
             (RECORDS.workers, "w-1", worker_record),
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store client uses the platform's protocol and maps each response to an outcome of the shared log."""
+"""The store client uses the platform's protocol and maps each answer to an outcome of the shared log."""
 
 import random
 from collections.abc import Awaitable, Callable
--- a/tests/unit/test_closing_runs.py
+++ b/tests/unit/test_closing_runs.py
@@ -1,8 +1,8 @@
 """A text is complete before its run has ended, while the connection is still being closed.
 
-Once in forty randomly drawn days, a node exited with code 1 because of this: the owner checked for slow runs
-while the connection of the last item of a batch was being closed. The item was complete, its worker was slow,
-and no other item of its batch was open.
+Once in forty simulated runs drawn at random, a node exited with code 1 because of this: the owner checked for
+slow runs while the connection of the last item of a batch was being closed. The item was complete, its worker
+was slow, and no other item of its batch was open.
 """
 
 from collections.abc import AsyncIterator, Iterator
