--- a/src/worksramp/rollout/batch_service.py
+++ b/src/worksramp/rollout/batch_service.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSure:
-    """This node cannot give a reliable answer: its copy may be stale or the store is unavailable."""
+    """This node cannot give a reliable answer: its replica may be stale or the store is unavailable."""
 
     reason: str
 
--- a/tests/unit/test_scoring_schedule.py
+++ b/tests/unit/test_scoring_schedule.py
@@ -28,7 +28,7 @@
     assert assigned([item(0)], [scorer("w", 6, num_calls=3)]) == []
 
 
-def test_a_scorer_with_waiting_requests_gets_one_call_at_a_time() -> None:
+def test_a_scorer_with_waiting_requests_gets_one_call_at_a_time_and_scoring_never_starves() -> None:
     busy = scorer("w", 6, num_reported_waiting=5)
     assert assigned([item(0), item(1)], [busy]) == [(0, "w")]
     assert assigned([item(0)], [scorer("w", 1)]) == [(0, "w")]
