--- a/src/worksramp/edge/node.py
+++ b/src/worksramp/edge/node.py
@@ -321,4 +321,4 @@
     def _apply_worker_change(self, change: Change) -> None:
         event = self.records.worker_event(change)
         if event is not None:
-            self._entries.take(event)
+            self._entries.apply(event)
--- a/src/worksramp/edge/worker_entries.py
+++ b/src/worksramp/edge/worker_entries.py
@@ -42,7 +42,7 @@
     _logged_faults: dict[str, RecordFault] = field(default_factory=dict)
     _are_starts_reported: bool = False
 
-    def take(self, event: WorkerEvent) -> None:
+    def apply(self, event: WorkerEvent) -> None:
         """Apply a change of one entry; one that cannot be used does not affect other workers."""
         if isinstance(event, WorkerSeen):
             self._apply_seen(event.entry)
--- a/tests/unit/test_worker_starts.py
+++ b/tests/unit/test_worker_starts.py
@@ -101,15 +101,15 @@
 def test_a_worker_with_an_unreadable_entry_is_not_used_until_a_valid_entry_replaces_it() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
-    entries.take(WorkerSeen(entry(FIRST_MS)))
-    entries.take(WorkerSeen(WorkerEntry("w2", "fleet", "w2:1", "z", 6, started_ms=FIRST_MS)))
+    entries.apply(WorkerSeen(entry(FIRST_MS)))
+    entries.apply(WorkerSeen(WorkerEntry("w2", "fleet", "w2:1", "z", 6, started_ms=FIRST_MS)))
     with mock.patch("worksramp.edge.worker_entries.logger") as logger:
         for _ in range(3):
-            entries.take(UnreadableRecord("w1", "state: 'resting' is not known", RecordFault.UNKNOWN_STATE))
+            entries.apply(UnreadableRecord("w1", "state: 'resting' is not known", RecordFault.UNKNOWN_STATE))
     logger.warning.assert_called_once()
     assert seen == [RecordFault.UNKNOWN_STATE] * 3
     assert [state.entry.worker_id for state in directory.usable("fleet")] == ["w2"]
-    entries.take(WorkerSeen(entry(FIRST_MS)))
+    entries.apply(WorkerSeen(entry(FIRST_MS)))
     assert directory.is_usable("w1")
 
 
@@ -121,16 +121,16 @@
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
     for name in ("w1", "w2"):
-        entries.take(seen_without_start(name))
+        entries.apply(seen_without_start(name))
     assert (seen, len(directory.usable("fleet"))) == ([], 2)
 
 
 def test_an_entry_without_start_time_is_refused_once_another_entry_has_one() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
-    entries.take(seen_without_start("other-1"))
-    entries.take(WorkerSeen(entry(FIRST_MS)))
-    entries.take(seen_without_start("other-2"))
+    entries.apply(seen_without_start("other-1"))
+    entries.apply(WorkerSeen(entry(FIRST_MS)))
+    entries.apply(seen_without_start("other-2"))
     assert seen == [RecordFault.BAD_VALUE] * 2
     assert [state.entry.worker_id for state in directory.usable("fleet")] == ["w1"]
 
@@ -138,8 +138,8 @@
 def test_an_entry_of_an_earlier_start_removes_the_worker() -> None:
     directory, seen = WorkerDirectory(), list[RecordFault]()
     entries = entries_of(directory, seen)
-    entries.take(WorkerSeen(entry(SECOND_MS)))
-    entries.take(WorkerSeen(entry(FIRST_MS)))
+    entries.apply(WorkerSeen(entry(SECOND_MS)))
+    entries.apply(WorkerSeen(entry(FIRST_MS)))
     assert (seen, directory.is_usable("w1")) == ([RecordFault.FORMER_START], False)
 
 
