--- a/src/worksramp/rollout/batch_owner.py
+++ b/src/worksramp/rollout/batch_owner.py
@@ -74,7 +74,7 @@
                 self._handle_restarted_workers()
                 self._watch.check_runs()
                 self._runner.start_runs(group)
-                self._scorer.look(group)
+                self._scorer.start_calls(group)
                 with anyio.move_on_after(TICK_SECONDS):
                     await self._wake_event.wait()
                 self._wake_event = anyio.Event()
@@ -106,7 +106,7 @@
     def _handle_restarted_workers(self) -> None:
         for worker_id in self._starts.restarted():
             self._pace.discard_worker(worker_id)
-            self._failures.forget(worker_id)
+            self._failures.discard_worker(worker_id)
             self._watch.close_runs_at(worker_id)
 
     def _update_batches(self) -> None:
@@ -138,7 +138,7 @@
         self._lister.open_batch(batch_id, batch.num_results)
         num_reused = 0
         for index, item in items.items():
-            kept = self._texts.kept(item.item_id) or earlier.get(item.item_id)
+            kept = self._texts.kept_text(item.item_id) or earlier.get(item.item_id)
             text = text_to_start_from(kept, batch, route)
             carried = self._carried.pop_text(item.item_id)
             if carried is not None:
@@ -192,7 +192,7 @@
                 **work.log_fields(now),
             )
             work.stop()
-            self._texts.leave(work)
+            self._texts.keep_for_later_batch(work)
             self._carried.carry(work)
         logger.info("batch_ended", batch_id=batch_id, num_cut=num_cut)
 
--- a/src/worksramp/rollout/item_scorer.py
+++ b/src/worksramp/rollout/item_scorer.py
@@ -84,7 +84,7 @@
         self._times = ScoringTimes()
         self._random = random.Random()
 
-    def look(self, group: anyio.abc.TaskGroup) -> None:
+    def start_calls(self, group: anyio.abc.TaskGroup) -> None:
         """Start the scoring calls that can be sent now, and cancel calls whose worker hangs."""
         unscored = self._items.unscored()
         if not unscored:
--- a/src/worksramp/rollout/text_keeper.py
+++ b/src/worksramp/rollout/text_keeper.py
@@ -62,14 +62,14 @@
         self._stored = set(self._from_former_owners)
 
     @mechanism("kept_texts", without=lambda keeper, item_id: None)
-    def kept(self, item_id: str) -> GeneratedText | None:
+    def kept_text(self, item_id: str) -> GeneratedText | None:
         """Return the text of an item from an earlier batch or a former owner, None if there is none."""
         ended_text = self._of_ended_batches.get(item_id)
         if ended_text is not None or item_id not in self._from_former_owners:
             return ended_text
         return decode(self._from_former_owners[item_id], GeneratedText)
 
-    def leave(self, work: ItemWork) -> None:
+    def keep_for_later_batch(self, work: ItemWork) -> None:
         """Keep the text of an item whose batch has ended; a later batch may contain the item again."""
         self.checkpoint_item(work, min_new_events=1)
         self._of_ended_batches[work.item.item_id] = work.text.freeze(work.key[0])
--- a/src/worksramp/routing/failure_tracker.py
+++ b/src/worksramp/routing/failure_tracker.py
@@ -43,7 +43,7 @@
         else:
             record.successes += 1.0
 
-    def forget(self, worker_id: str) -> None:
+    def discard_worker(self, worker_id: str) -> None:
         """Discard the outcomes of a worker that has restarted."""
         self._records.pop(worker_id, None)
 
