--- a/src/worksramp/gateway/callers.py
+++ b/src/worksramp/gateway/callers.py
@@ -181,7 +181,7 @@
     recorder = SegmentRecorder()
     async with aclosing(chunks) as stream:
         async for chunk in stream:
-            recorder.take(chunk)
+            recorder.add_chunk(chunk)
     sample = recorder.sample()
     choice = Choice(0, "".join(sample.tokens), "stop")
     return json_response(_completion(request, choice, sample.segments))
--- a/src/worksramp/rollout/sampler.py
+++ b/src/worksramp/rollout/sampler.py
@@ -22,7 +22,7 @@
         self.tokens: list[str] = []
         self._segments: list[SegmentReply] = []
 
-    def take(self, chunk: GenerationChunk) -> None:
+    def add_chunk(self, chunk: GenerationChunk) -> None:
         """Append a chunk; chunks must be passed in order and without gaps."""
         if not chunk.tokens:
             return
@@ -70,7 +70,7 @@
     try:
         async with aclosing(generate_resumable(pool, engines, generate, policy, budget)) as chunks:
             async for chunk in chunks:
-                recorder.take(chunk)
+                recorder.add_chunk(chunk)
     except StepError as error:
         return CallFailed(error.step, error.peer, error.reason, is_not_started=not recorder.tokens)
     return recorder.sample()
--- a/src/worksramp/routing/generation.py
+++ b/src/worksramp/routing/generation.py
@@ -43,7 +43,7 @@
         self.tokens: list[str] = []
         self._request_id = request_id
 
-    def take(self, chunk: GenerationChunk, peer: str) -> GenerationChunk | None:
+    def add_chunk(self, chunk: GenerationChunk, peer: str) -> GenerationChunk | None:
         """Add a chunk and return its new part, or None if it contains nothing new.
 
         Raises:
@@ -79,7 +79,7 @@
     failure: StepError = NotStartedError(
         STEP, pool.zone, "no worker may be used now", DEFAULT_RETRY_AFTER_SECONDS
     )
-    has_begun = False
+    may_have_started = False
     budget.note_request()
     for num_attempts in range(policy.max_attempts):
         if num_attempts > 0 and not budget.try_spend():
@@ -101,7 +101,7 @@
             with pool.using(worker, is_rollout=policy.reserved_share > 0.0):
                 async with aclosing(engines.generate(address, attempt)) as chunks:
                     async for chunk in chunks:
-                        new_chunk = assembler.take(chunk, address)
+                        new_chunk = assembler.add_chunk(chunk, address)
                         if new_chunk is not None:
                             yield new_chunk
                         if chunk.is_final:
@@ -109,6 +109,6 @@
                 raise InterruptedStepError(STEP, address, "the stream ended early")
         except StepError as error:
             failure = error
-            has_begun = has_begun or not isinstance(error, NotStartedError)
+            may_have_started = may_have_started or not isinstance(error, NotStartedError)
             excluded |= {worker.machine.machine_id}
-    raise final_failure(failure, has_begun)
+    raise final_failure(failure, may_have_started)
--- a/src/worksramp/routing/limits.py
+++ b/src/worksramp/routing/limits.py
@@ -107,17 +107,17 @@
         self._mean_seconds += SMOOTHING * (seconds - self._mean_seconds)
 
 
-def final_failure(last: StepError, has_begun: bool) -> StepError:
+def final_failure(last: StepError, may_have_started: bool) -> StepError:
     """Return the error that a request ends with after its last attempt.
 
     Args:
         last: error of the last attempt.
-        has_begun: whether any attempt may have begun; then the request must not be reported as not run, even
-            if the last back end refused it.
+        may_have_started: whether any attempt may have begun; then the request must not be reported as not
+            run, even if the last back end refused it.
     """
     if not isinstance(last, NotStartedError):
         return last
-    if has_begun:
+    if may_have_started:
         return InterruptedStepError(last.step, last.peer, f"an earlier try may have begun; {last.reason}")
     seconds = last.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
     return NotStartedError(last.step, last.peer, last.reason, seconds, last.is_leaving)
--- a/src/worksramp_emulator/simulation/mutations.py
+++ b/src/worksramp_emulator/simulation/mutations.py
@@ -29,14 +29,14 @@
 @contextmanager
 def _one_version_a_stream() -> Iterator[None]:
     """Label all tokens of a stream with the weight version of its first tokens."""
-    take = SegmentRecorder.take
+    add_chunk = SegmentRecorder.add_chunk
 
-    def take_mutated(self: SegmentRecorder, chunk: GenerationChunk) -> None:
+    def add_mutated(self: SegmentRecorder, chunk: GenerationChunk) -> None:
         segments = self.sample().segments
         version = segments[0].weight_version if segments else chunk.weight_version
-        take(self, msgspec.structs.replace(chunk, weight_version=version))
+        add_chunk(self, msgspec.structs.replace(chunk, weight_version=version))
 
-    with mock.patch.object(SegmentRecorder, "take", take_mutated):
+    with mock.patch.object(SegmentRecorder, "add_chunk", add_mutated):
         yield
 
 
@@ -83,18 +83,18 @@
 def _no_stream_checks() -> Iterator[None]:
     """Append all chunks in the order in which they arrive, without checking them."""
 
-    def take(self: StreamAssembler, chunk: GenerationChunk, peer: str) -> GenerationChunk:
+    def add_chunk(self: StreamAssembler, chunk: GenerationChunk, peer: str) -> GenerationChunk:
         self.tokens.extend(chunk.tokens)
         return chunk
 
-    with mock.patch.object(StreamAssembler, "take", take):
+    with mock.patch.object(StreamAssembler, "add_chunk", add_chunk):
         yield
 
 
 @contextmanager
 def _last_error_decides() -> Iterator[None]:
     """Report "not run" if the last attempt was refused, regardless of the outcome of earlier attempts."""
-    with mock.patch.object(generation, "final_failure", lambda last, has_begun: last):
+    with mock.patch.object(generation, "final_failure", lambda last, may_have_started: last):
         yield
 
 
