--- a/src/worksramp/rollout/batches.py
+++ b/src/worksramp/rollout/batches.py
@@ -1,4 +1,4 @@
-"""Records of submitted batches, and the state of all batches that is folded from their log partition.
+"""Defines records of submitted batches, and the state of all batches that is folded from their log partition.
 
 Keys (docs/design/prepared-machines.md): ``b/BATCH`` header, ``e/BATCH`` end, ``r/BATCH/P`` result.
 The newest values of all keys are the complete state, so the store may compact the partition. Items and texts
--- a/src/worksramp/rollout/bodies.py
+++ b/src/worksramp/rollout/bodies.py
@@ -1,4 +1,4 @@
-"""Access to the texts of finished samples: a bounded memory cache in front of the job's log stream.
+"""Provides access to the texts of finished samples: a bounded memory cache in front of the job's log stream.
 
 The job's state holds the log offset of each sample, not its text. Texts that are not cached, for example
 after a takeover, are read back in ranges when a batch is sent.
--- a/src/worksramp/rollout/document.py
+++ b/src/worksramp/rollout/document.py
@@ -1,4 +1,4 @@
-"""Schema version 1 of a tenant's configuration document: templates, jobs and limits.
+"""Defines schema version 1 of a tenant's configuration document: templates, jobs and limits.
 
 The validation rules of a schema version never change; new rules need a new schema version. Nodes of
 different releases therefore reach the same verdict about the same record.
--- a/src/worksramp_emulator/simulation/batch_faults.py
+++ b/src/worksramp_emulator/simulation/batch_faults.py
@@ -1,4 +1,4 @@
-"""Faults for a simulated deployment of batches, and the sentences by which scenarios name them."""
+"""Defines faults for a simulated deployment of batches, and the sentences by which scenarios name them."""
 
 import functools
 import re
--- a/src/worksramp_emulator/simulation/clients.py
+++ b/src/worksramp_emulator/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Platform clients that reach the emulated platform services over the simulated network."""
+"""Defines platform clients that reach the emulated platform services over the simulated network."""
 
 import random
 from collections.abc import AsyncGenerator, Callable
--- a/src/worksramp_emulator/simulation/scoring_mutations.py
+++ b/src/worksramp_emulator/simulation/scoring_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the scoring code, to show that the checkers of batches detect each of them."""
+"""Defines mutations of the scoring code, to show that the checkers of batches detect each of them."""
 
 from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager, contextmanager
